--- a/benchmarks/soak/proof.py
+++ b/benchmarks/soak/proof.py
@@ -70,14 +70,14 @@
     Mend(
         "hosts that are out, over an upgrade",
         "3253253",
-        "handover/succession.py",
+        "handover/coordinator.py",
         "self.desk.adopt(told.out, told.back, told.starts, now)",
         "self.desk.adopt({}, {}, told.starts, now)",
     ),
     Mend(
         "a watch that fell silent is given up",
         "bc484bf",
-        "membership/patience.py",
+        "membership/retry_policy.py",
         "PUSHED = Patience((1.5 * BEAT, 1.5 * BEAT),",
         "PUSHED = Patience((3600.0, 3600.0),",
     ),
--- a/setup.py
+++ b/setup.py
@@ -9,16 +9,16 @@
 COMPILED = (
     "whinrouter/balance.py",
     "whinrouter/breaker.py",
-    "whinrouter/host.py",
+    "whinrouter/server_state.py",
     "whinrouter/interface.py",
     "whinrouter/invariants/events.py",
     "whinrouter/invariants/lifecycle.py",
-    "whinrouter/ownlimit.py",
+    "whinrouter/overload_control.py",
     "whinrouter/shedding.py",
     "whinrouter/slowstart.py",
     "whinrouter/streaming/flow.py",
     "whinrouter/net/attempt.py",
-    "whinrouter/net/door.py",
+    "whinrouter/net/priority_selector.py",
     "whinrouter/net/frontend.py",
     "whinrouter/net/gateway.py",
     "whinrouter/net/hosts.py",
@@ -27,7 +27,7 @@
     "whinrouter/net/routes.py",
     "whinrouter/net/sockets.py",
     "whinrouter/net/upstream.py",
-    "whinrouter/net/wheel.py",
+    "whinrouter/net/timer_wheel.py",
 )
 
 
--- a/tests/faults/test_start.py
+++ b/tests/faults/test_start.py
@@ -14,7 +14,7 @@
 from whinrouter import program
 from whinrouter.handover import channel
 from whinrouter.net.config import ConfigError
-from whinrouter.operations.desk import Desk
+from whinrouter.operations.controller import Desk
 
 MOMENTARY = (errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE)
 
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -17,7 +17,7 @@
 from whinrouter.interface import SECOND, RequestClass, Server, Settings
 from whinrouter.net.hosts import HostList, Member
 from whinrouter.net.http import Message
-from whinrouter.operations.desk import Desk
+from whinrouter.operations.controller import Desk
 from whinrouter.operations.presence import Presence
 
 HOUR = 3600
--- a/tests/handover/test_long_answers.py
+++ b/tests/handover/test_long_answers.py
@@ -19,8 +19,8 @@
 from tests.processes import logged
 from tests.test_discovery import HEAD
 from tests.test_program import told
-from whinrouter.handover.passing import Offering, PassedAnswer, Taking
 from whinrouter.handover.relayed import LINGER
+from whinrouter.handover.transfer import Offering, PassedAnswer, Taking
 from whinrouter.net.http import Message, chunk
 from whinrouter.streaming.remainder import Framing, Remainder
 
--- a/tests/handover/test_words.py
+++ b/tests/handover/test_messages.py
@@ -10,8 +10,7 @@
 
 from tests.helpers import BUY, CLASSES, READ, Driver
 from whinrouter.balance import Balancer
-from whinrouter.handover.line import Line, Step
-from whinrouter.handover.words import (
+from whinrouter.handover.messages import (
     Called,
     Frames,
     Hello,
@@ -24,8 +23,9 @@
     TornError,
     frame,
 )
+from whinrouter.handover.session import Line, Step
 from whinrouter.interface import MS, SECOND, Outcome, ServerList, Settings, Update
-from whinrouter.membership.starts import StartAge
+from whinrouter.membership.start_times import StartAge
 
 
 def _experienced() -> Driver:
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -22,7 +22,7 @@
 from tests.processes import logged, started
 from tests.test_discovery import HEAD
 from tests.test_program import is_up, told, write
-from whinrouter.handover.words import MAGIC, Hello, frame
+from whinrouter.handover.messages import MAGIC, Hello, frame
 from whinrouter.net.http import Message
 
 
--- a/tests/membership/test_texts.py
+++ b/tests/membership/test_json_stream.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whinrouter.membership.texts import Texts
+from whinrouter.membership.json_stream import Texts
 
 MOST = 10_000
 # Brackets, quotes and escapes inside strings are what a count of brackets could trip over.
--- a/tests/membership/test_jute.py
+++ b/tests/membership/test_jute.py
@@ -11,7 +11,7 @@
 from kazoo.protocol import serialization as real
 
 from whinrouter.membership.zookeeper.jute import MOST_FRAME, Frames, JuteError, Reader, Writer, frame
-from whinrouter.membership.zookeeper.words import Connect, Connected, Event, Reply, Stat
+from whinrouter.membership.zookeeper.records import Connect, Connected, Event, Reply, Stat
 
 LONG = st.integers(-(2**63), 2**63 - 1)
 INT = st.integers(-(2**31), 2**31 - 1)
--- a/tests/membership/test_patience.py
+++ b/tests/membership/test_retry_policy.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whinrouter.membership.patience import BEAT, PUSHED, TOLD, asked
+from whinrouter.membership.retry_policy import BEAT, PUSHED, TOLD, asked
 
 LEAST_GRACE = 0.5  # seconds that hosts which drain are still sent to, as the settings had it at the least
 
--- a/tests/membership/test_starts.py
+++ b/tests/membership/test_start_times.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from whinrouter.interface import SECOND, Server, State
-from whinrouter.membership.starts import SPARE_ENTRIES, StartTimes
+from whinrouter.membership.start_times import SPARE_ENTRIES, StartTimes
 
 UNIX = 1_796_000_000 * SECOND
 NOW = 1 << 50
--- a/tests/operations/test_retune.py
+++ b/tests/operations/test_reload_checks.py
@@ -12,7 +12,7 @@
 from tests.helpers import BUY, CLASSES, READ, Driver
 from tests.test_program import SETUP, told
 from whinrouter.interface import MS, Effect, Outcome, Settings
-from whinrouter.operations.retune import findings
+from whinrouter.operations.reload_checks import findings
 
 IN_FORCE = told(1)
 
--- a/tests/operator/test_lines.py
+++ b/tests/operator/test_toml_lines.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whinrouter.operator.lines import key_lines, key_paths
+from whinrouter.operator.toml_lines import key_lines, key_paths
 
 _BARE = st.text("abcXYZ019_-", min_size=1, max_size=5)
 _TEXT = st.text(st.characters(blacklist_categories=("Cs", "Cc")), max_size=8)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -18,11 +18,11 @@
 
 from whinrouter.balance import Balancer
 from whinrouter.interface import MS, Action, Effect, Event, RequestClass, Server, Settings
-from whinrouter.net.door import Door
 from whinrouter.net.frontend import Frontend
 from whinrouter.net.gateway import Gateway
 from whinrouter.net.hosts import HostList, Member, number
 from whinrouter.net.http import Message, RequestReader, ResponseReader, write_answer
+from whinrouter.net.priority_selector import Door
 from whinrouter.net.upstream import Upstream
 from whinrouter.streaming.flow import Flow
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 
 from tests.peers import GENEROUS, Peer, peers, scenario, until
 from whinrouter.interface import MS, State
-from whinrouter.membership.patience import IN_LINE, PUSHED, Patience
+from whinrouter.membership.retry_policy import IN_LINE, PUSHED, Patience
 from whinrouter.net import discovery
 from whinrouter.net.discovery import Discovery, read_list
 from whinrouter.net.hosts import HostList, number
--- a/tests/test_late_loop.py
+++ b/tests/test_late_loop.py
@@ -45,9 +45,9 @@
     Update,
 )
 from whinrouter.net import frontend
-from whinrouter.net.door import Door
 from whinrouter.net.http import RequestReader
-from whinrouter.ownlimit import OwnLimit
+from whinrouter.net.priority_selector import Door
+from whinrouter.overload_control import OwnLimit
 
 PAUSE = 0.06  # seconds for which a loop is held up here: some targets
 
--- a/tests/test_ownlimit.py
+++ b/tests/test_overload_control.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whinrouter.ownlimit import ACCEPT_EVERY, INTERVAL, LEAST_TARGET, READS_A_TURN, OwnLimit
+from whinrouter.overload_control import ACCEPT_EVERY, INTERVAL, LEAST_TARGET, READS_A_TURN, OwnLimit
 
 AIM = 0.4
 SERVE, TURN_AWAY = 0.001, 0.0002  # seconds of CPU
--- a/tests/test_door.py
+++ b/tests/test_priority_selector.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from whinrouter.net.door import Door
-from whinrouter.ownlimit import READS_A_TURN, OwnLimit
+from whinrouter.net.priority_selector import Door
+from whinrouter.overload_control import READS_A_TURN, OwnLimit
 
 
 class Sockets:
--- a/tests/test_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from tests.peers import scenario, until
-from whinrouter.net.wheel import TICK, Timer, Wheel
+from whinrouter.net.timer_wheel import TICK, Timer, Wheel
 
 
 class Loop:
--- a/whinrouter/balance.py
+++ b/whinrouter/balance.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from whinrouter.breaker import Breaker
-from whinrouter.host import (
+from whinrouter.server_state import (
     FIRST_LIMIT, LAST_LIMIT, LEAST_FIRST_LIMIT, RECALL, RECALL_ANSWERS, Host,
 )  # fmt: skip
 from whinrouter.interface import (
@@ -20,7 +20,7 @@
     Refuse, Request, RequestAdopted, RequestClass, RequestGone, RequestId, Scope, Send, Server, ServerId,
     ServerList, SetTimer, Settings, State, StreamStarted, Subscribe, TimerFired, Update,
 )  # fmt: skip
-from whinrouter.learnt import Learnt, age_of, moment_of
+from whinrouter.learned_state import Learnt, age_of, moment_of
 from whinrouter.shedding import Shedding
 from whinrouter.slowstart import BASE_PART, SAVED_PART, SlowStart
 
--- a/whinrouter/breaker.py
+++ b/whinrouter/breaker.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from whinrouter.interface import SECOND
-from whinrouter.learnt import BreakerState
+from whinrouter.learned_state import BreakerState
 
 WINDOW = 60 * SECOND  # failures older than this are forgotten
 THRESHOLD = 3  # failures that open a breaker
--- a/whinrouter/handover/channel.py
+++ b/whinrouter/handover/channel.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Protocol
 
-from whinrouter.handover.line import Line, Step
-from whinrouter.handover.words import Message, TornError, frame
+from whinrouter.handover.messages import Message, TornError, frame
+from whinrouter.handover.session import Line, Step
 from whinrouter.net.accept import Acceptor
 from whinrouter.net.connect import LISTEN_PAUSES, with_retries
 
--- a/whinrouter/handover/connections.py
+++ b/whinrouter/handover/connections.py
@@ -5,7 +5,8 @@
 import socket
 from collections.abc import Callable
 
-from whinrouter.handover.passing import (
+from whinrouter.handover.relayed import RelayedAnswer
+from whinrouter.handover.transfer import (
     AdoptedConnection,
     NoRoomError,
     PassedAnswer,
@@ -13,7 +14,6 @@
     PassedMessage,
     PassedUpload,
 )
-from whinrouter.handover.relayed import RelayedAnswer
 from whinrouter.net.attempt import Target
 from whinrouter.net.connection_state import ConnectionState
 from whinrouter.net.frontend import ClientConnection, Frontend
--- a/whinrouter/handover/succession.py
+++ b/whinrouter/handover/coordinator.py
@@ -29,10 +29,7 @@
 from whinrouter.control.calls import RefusedError
 from whinrouter.handover.channel import MOST_LINES, TAKE_TIME, Peer, Post, call
 from whinrouter.handover.connections import PASSABLE, ConnectionUnderWay, RelayUnderWay, adopter
-from whinrouter.handover.line import Step
-from whinrouter.handover.passing import Offering, PassableConnection, Taking
-from whinrouter.handover.relayed import RelayedAnswer
-from whinrouter.handover.words import (
+from whinrouter.handover.messages import (
     Called,
     Hello,
     Holding,
@@ -42,13 +39,16 @@
     Snapshot,
     Stopped,
 )
+from whinrouter.handover.relayed import RelayedAnswer
+from whinrouter.handover.session import Step
+from whinrouter.handover.transfer import Offering, PassableConnection, Taking
 from whinrouter.interface import Server, State
 from whinrouter.invariants.events import EventKind
 from whinrouter.net.frontend import ClientConnection, Frontend
 from whinrouter.net.gateway import Gateway
 from whinrouter.net.hosts import HostList, Member
 from whinrouter.net.upstream import Upstream
-from whinrouter.operations.desk import Desk
+from whinrouter.operations.controller import Desk
 
 log = logging.getLogger(__name__)
 
--- a/whinrouter/handover/words.py
+++ b/whinrouter/handover/messages.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from whinrouter.learnt import Learnt
-from whinrouter.membership.starts import StartAge
+from whinrouter.learned_state import Learnt
+from whinrouter.membership.start_times import StartAge
 
 MAGIC = b"CLH2"
 # Bytes of a payload. A host takes some 200 with what was learnt of it: this is for ten times the largest
--- a/whinrouter/handover/line.py
+++ b/whinrouter/handover/session.py
@@ -13,7 +13,7 @@
 
 from enum import Enum
 
-from whinrouter.handover.words import (
+from whinrouter.handover.messages import (
     Called,
     Frames,
     Hello,
--- a/whinrouter/net/attempt.py
+++ b/whinrouter/net/attempt.py
@@ -9,7 +9,7 @@
 from whinrouter.interface import Outcome, ServerId
 from whinrouter.net.hosts import Member
 from whinrouter.net.http import Message, write_request
-from whinrouter.net.wheel import Timer
+from whinrouter.net.timer_wheel import Timer
 from whinrouter.streaming.flow import Flow
 
 Ended = Callable[["Attempt", Outcome, Message | None], None]
--- a/whinrouter/net/config.py
+++ b/whinrouter/net/config.py
@@ -13,10 +13,10 @@
 
 from whinrouter import wire
 from whinrouter.interface import SECOND, Settings
-from whinrouter.membership.patience import PUSHED, Patience, asked
+from whinrouter.membership.retry_policy import PUSHED, Patience, asked
 from whinrouter.net.discovery import read_list
 from whinrouter.net.hosts import HostList
-from whinrouter.operations.retune import findings
+from whinrouter.operations.reload_checks import findings
 
 Address = tuple[str, int]
 
--- a/whinrouter/net/discovery.py
+++ b/whinrouter/net/discovery.py
@@ -12,8 +12,8 @@
 import orjson
 
 from whinrouter.interface import MS, Server, State
-from whinrouter.membership.patience import IN_LINE, Patience
-from whinrouter.membership.texts import Texts
+from whinrouter.membership.json_stream import Texts
+from whinrouter.membership.retry_policy import IN_LINE, Patience
 from whinrouter.net.connect import open_connection
 from whinrouter.net.hosts import HostList, Member, number
 
--- a/whinrouter/net/frontend.py
+++ b/whinrouter/net/frontend.py
@@ -19,7 +19,6 @@
 from whinrouter.net.attempt import Carrier, Target
 from whinrouter.net.connect import Listener
 from whinrouter.net.connection_state import ConnectionState
-from whinrouter.net.door import Door
 from whinrouter.net.gateway import MARGIN, Answer, Gateway, PassedRequest
 from whinrouter.net.http import (
     LAST_CHUNK,
@@ -34,11 +33,12 @@
     write_head,
 )
 from whinrouter.net.interpreter import RequestInterpreter
+from whinrouter.net.priority_selector import Door
 from whinrouter.net.routes import Routes
 from whinrouter.net.sockets import acknowledged, age, end, left, reset, unread
 from whinrouter.net.transport import SocketTransport
 from whinrouter.operations.presence import Presence
-from whinrouter.ownlimit import OwnLimit
+from whinrouter.overload_control import OwnLimit
 from whinrouter.streaming.flow import FLOOR, GRACE, TAKES, Flow, RateFloor
 from whinrouter.streaming.remainder import Remainder
 
--- a/whinrouter/net/gateway.py
+++ b/whinrouter/net/gateway.py
@@ -36,11 +36,11 @@
 )
 from whinrouter.invariants.events import EventKind
 from whinrouter.invariants.lifecycle import Guards, RequestLife
-from whinrouter.learnt import Learnt
+from whinrouter.learned_state import Learnt
 from whinrouter.net.attempt import Attempt, Carrier, Sender, Target
 from whinrouter.net.hosts import HostList
 from whinrouter.net.http import Headers, Message
-from whinrouter.net.wheel import Timer, Wheel
+from whinrouter.net.timer_wheel import Timer, Wheel
 from whinrouter.streaming.flow import Flow
 
 log = logging.getLogger(__name__)
--- a/whinrouter/net/door.py
+++ b/whinrouter/net/priority_selector.py
@@ -19,7 +19,7 @@
 from collections import deque
 
 from whinrouter.net.sockets import age
-from whinrouter.ownlimit import OwnLimit
+from whinrouter.overload_control import OwnLimit
 
 Events = list[tuple[selectors.SelectorKey, int]]
 
--- a/whinrouter/operations/desk.py
+++ b/whinrouter/operations/controller.py
@@ -13,7 +13,7 @@
 
 from whinrouter.control.calls import Calls, RefusedError
 from whinrouter.interface import ServerId, Update
-from whinrouter.membership.starts import StartAge, StartTimes
+from whinrouter.membership.start_times import StartAge, StartTimes
 from whinrouter.net.hosts import HostList, Member, number
 from whinrouter.operations.maintenance import Maintenance, NoSuchHostError
 from whinrouter.operations.presence import Presence
--- a/whinrouter/operator/decode.py
+++ b/whinrouter/operator/decode.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from whinrouter.operator.findings import Finding, Place
-from whinrouter.operator.lines import KeyPath
+from whinrouter.operator.toml_lines import KeyPath
 
 Where = Callable[[KeyPath], Place]
 
--- a/whinrouter/operator/loading.py
+++ b/whinrouter/operator/loading.py
@@ -17,8 +17,8 @@
 
 from whinrouter.operator.decode import decode
 from whinrouter.operator.findings import Finding, Place
-from whinrouter.operator.lines import KeyPath, key_lines
 from whinrouter.operator.model import Catalogue, Model
+from whinrouter.operator.toml_lines import KeyPath, key_lines
 
 MOST_BYTES = 1024 * 1024  # of one file: a hundred times what anyone writes
 MOST_FILES = 64  # that one configuration includes, itself counted
--- a/whinrouter/program.py
+++ b/whinrouter/program.py
@@ -20,23 +20,23 @@
 from whinrouter.balance import Balancer
 from whinrouter.coalesced import CoalescedCall
 from whinrouter.control.calls import Calls
-from whinrouter.control.shell import ControlServer
+from whinrouter.control.server import ControlServer
 from whinrouter.interface import SECOND, Settings
 from whinrouter.invariants.events import EventKind
 from whinrouter.net.application import Application
 from whinrouter.net.config import ConfigError
 from whinrouter.net.connect import LISTEN_PAUSES, with_retries
-from whinrouter.net.door import Door
 from whinrouter.net.frontend import RECEIVE_TIME, Frontend
 from whinrouter.net.gateway import Gateway
 from whinrouter.net.hosts import HostList
+from whinrouter.net.priority_selector import Door
 from whinrouter.net.routes import Routes
 from whinrouter.net.upstream import Upstream
-from whinrouter.operations.desk import Desk
-from whinrouter.ownlimit import OwnLimit
+from whinrouter.operations.controller import Desk
+from whinrouter.overload_control import OwnLimit
 
 if TYPE_CHECKING:
-    from whinrouter.handover.succession import Succession
+    from whinrouter.handover.coordinator import Succession
 
 log = logging.getLogger("whinrouter")
 event_log = logging.getLogger("whinrouter.events")
@@ -225,8 +225,8 @@
     folder = os.environ.get("TMPDIR")
     if plan.listener is None or not folder:
         return None
-    from whinrouter.handover.succession import Succession  # noqa: PLC0415 - only where it is on
-    from whinrouter.handover.words import Hello  # noqa: PLC0415
+    from whinrouter.handover.coordinator import Succession  # noqa: PLC0415 - only where it is on
+    from whinrouter.handover.messages import Hello  # noqa: PLC0415
 
     hello = Hello(plan.name, "{}:{}".format(*plan.listen), os.fstat(plan.listener).st_ino)
     named = repr((hello.name, hello.listen)).encode()
--- a/whinrouter/host.py
+++ b/whinrouter/server_state.py
@@ -7,7 +7,7 @@
 
 from whinrouter.breaker import Breaker, ClassBreaker
 from whinrouter.interface import SECOND, Attempt, Outcome, RequestClass, Server
-from whinrouter.learnt import HostLearnt, age_of, moment_of
+from whinrouter.learned_state import HostLearnt, age_of, moment_of
 from whinrouter.slowstart import SlowStart
 
 # Attempts that all balancers together may have in flight at a server of mean size that they have just met.
--- a/whinrouter/sidecar.py
+++ b/whinrouter/sidecar.py
@@ -13,7 +13,7 @@
 
 from whinrouter import signals
 from whinrouter.interface import SECOND, Effect, RequestClass, Scope, Settings
-from whinrouter.membership.patience import asked
+from whinrouter.membership.retry_policy import asked
 from whinrouter.net.config import ConfigError, inherited
 from whinrouter.net.discovery import Discovery
 from whinrouter.net.hostfile import HostFile, listed
