--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -18,11 +18,15 @@
 
 from benchmarks.deployments import seeds
 from standins.coldstart import Warmup
-from standins.fleet import Burst, Fleet, Kind, machines
+from standins.fleet import Burst, Fleet, RequestKind, make_machines
 from whinrouter.interface import MS, SECOND, Effect, RequestClass
 
-READ = Kind(RequestClass("read", 400 * MS, 1500 * MS, Effect.IDEMPOTENT, worth=3.0), 0.7, 20 * MS, 10 * MS)
-BUY = Kind(RequestClass("buy", 300 * MS, 600 * MS, Effect.AT_MOST_ONCE, worth=8.0), 0.3, 10 * MS, 10 * MS)
+READ = RequestKind(
+    RequestClass("read", 400 * MS, 1500 * MS, Effect.IDEMPOTENT, worth=3.0), 0.7, 20 * MS, 10 * MS
+)
+BUY = RequestKind(
+    RequestClass("buy", 300 * MS, 600 * MS, Effect.AT_MOST_ONCE, worth=8.0), 0.3, 10 * MS, 10 * MS
+)
 RESTARTS, BURST, ENDS, LAST = 2 * SECOND, 4 * SECOND, 8 * SECOND, 13 * SECOND
 
 
@@ -53,7 +57,7 @@
     """As many servers of two cores as there are balancers, up to sixty."""
     count = min(60, max(12, balancers))
     made = Fleet(
-        machines(count, (2,)),
+        make_machines(count, (2,)),
         (READ, BUY),
         balancers,
         0.5,
@@ -63,18 +67,18 @@
         bursts=[Burst(BURST, ENDS, 1.5)],
     )
     for place in range(count // 2):
-        made.later(RESTARTS + place * scene.apart, partial(made.restart, place + 1))
+        made.schedule(RESTARTS + place * scene.apart, partial(made.restart, place + 1))
     return made
 
 
 def play(scene: Scene, balancers: int, seed: int) -> Result:
     made = fleet(scene, balancers, seed)
-    made.play(LAST)
-    assert not made.broken, made.broken
+    made.run(LAST)
+    assert not made.violations, made.violations
     return Result(
-        len(made.cold),
-        sum(cold.fell for cold in made.cold),
-        max(cold.worst for cold in made.cold),
+        len(made.cold_loads),
+        sum(cold.is_overloaded for cold in made.cold_loads),
+        max(cold.worst_excess for cold in made.cold_loads),
         made.goodput(BURST, ENDS),
         made.goodput(ENDS, LAST),
     )
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -41,12 +41,12 @@
     Settings,
     Update,
 )
-from whinrouter.net.attempt import Attempt, Began, Ended, MayBegin
+from whinrouter.net.attempt import Attempt, EndedCallback, MayBeginCheck, StreamingCallback
 from whinrouter.net.frontend import Frontend
 from whinrouter.net.gateway import Answer, Gateway
 from whinrouter.net.hosts import HostList, Member
-from whinrouter.net.http import Message, RequestReader, ResponseReader, write_answer, write_request
-from whinrouter.net.upstream import Upstream
+from whinrouter.net.http import Message, RequestReader, ResponseReader, serialize_answer, serialize_request
+from whinrouter.net.upstream import ConnectionPool
 
 READ = RequestClass("page-read", 400 * MS, 1_500 * MS, Effect.IDEMPOTENT, worth=3)
 SETTINGS = Settings((READ,), max_attempts=5, may_hedge=True, may_cancel=True)
@@ -108,15 +108,15 @@
         self,
         server: ServerId,
         message: Message,
-        expires: float,
-        ended: Ended,
+        expires_at: float,
+        on_ended: EndedCallback,
         owner: Any = None,
         number: int = 0,
-        began: Began | None = None,
-        may_begin: MayBegin | None = None,
+        on_streaming: StreamingCallback | None = None,
+        may_begin: MayBeginCheck | None = None,
     ) -> Attempt | None:
         attempt = Attempt(
-            self._targets[server], message, expires, ended, owner, number, 0.0, began, may_begin
+            self._targets[server], message, expires_at, on_ended, owner, number, 0.0, on_streaming, may_begin
         )
         self.waiting.append(attempt)
         return attempt
@@ -127,7 +127,7 @@
     upstream = _Known()
     gateway = Gateway(Balancer(SETTINGS, seed=1), upstream)
     members = tuple(Member(Server(id=number), ("127.0.0.1", 9)) for number in range(hosts))
-    gateway.list_hosts(HostList(1, True, members))
+    gateway.update_hosts(HostList(1, True, members))
     interpreter = Frontend(gateway, SETTINGS, 100).interpreter
     asked = interpreter.interpret(RequestReader().feed(request_text("9b1f03aa"))[0], 0.0)
     answer = ResponseReader().feed(ANSWER)[0]
@@ -137,7 +137,7 @@
 
     def run(count: int) -> None:
         for _ in range(count):
-            gateway.take(asked, reply)
+            gateway.submit_request(asked, reply)
             upstream.waiting.pop().end(Outcome.OK, answer)
 
     return run
@@ -149,17 +149,17 @@
 
     def run(count: int) -> None:
         for _ in range(count):
-            request.passed = b""
-            write_request(request, 1.485)
+            request.forwarded_head = b""
+            serialize_request(request, 1.485)
             answer = reader.feed(ANSWER)[0]
-            write_answer(200, answer.headers, answer.body, False)
+            serialize_answer(200, answer.headers, answer.body, False)
 
     return run
 
 
 def parts(hosts: int) -> dict[str, Part]:
     """By name; the driver's figure holds the module's."""
-    gateway = Gateway(Balancer(SETTINGS, seed=1), Upstream(1.0, 60.0, 100))
+    gateway = Gateway(Balancer(SETTINGS, seed=1), ConnectionPool(1.0, 60.0, 100))
     return {"front": front(gateway), "module": module(hosts), "driver": driver(hosts), "text": text()}
 
 
--- a/benchmarks/reading.py
+++ b/benchmarks/reading.py
@@ -15,8 +15,8 @@
 import threading
 import time
 
-from whinrouter.net.sockets import acknowledged
-from whinrouter.streaming.flow import FLOOR
+from whinrouter.net.sockets import acknowledged_bytes
+from whinrouter.streaming.flow import MIN_BODY_RATE
 
 STARTS = (0, 1_000_000, 8_000_000, 30_000_000)
 PART = 0.1  # seconds between two reads
@@ -56,7 +56,7 @@
         with contextlib.suppress(BlockingIOError):
             while True:
                 sender.endpoint.send(data)
-        told = acknowledged(sender)  # type: ignore[arg-type]
+        told = acknowledged_bytes(sender)  # type: ignore[arg-type]
         if told != shown:
             shown, since = told, now
         gap = max(gap, now - since)
@@ -77,7 +77,9 @@
         found[rate, fast] = longest(fast, rate, seconds)
 
     threads = [
-        threading.Thread(target=play, args=(rate, fast)) for rate in (FLOOR, 2 * FLOOR) for fast in STARTS
+        threading.Thread(target=play, args=(rate, fast))
+        for rate in (MIN_BODY_RATE, 2 * MIN_BODY_RATE)
+        for fast in STARTS
     ]
     for thread in threads:
         thread.start()
--- a/benchmarks/settings.py
+++ b/benchmarks/settings.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from benchmarks.deployments import seeds
-from standins.fleet import Fleet, Kind, Trouble, machines
+from standins.fleet import Fault, Fleet, RequestKind, make_machines
 from whinrouter.interface import MS, SECOND, Effect, RequestClass, Scope
 
 LAST = 20 * SECOND
@@ -27,7 +27,7 @@
 HELD_TOO_MUCH = 5.0  # times its cores, from which a server is overdriven
 
 
-def _three(size: float) -> tuple[Kind, ...]:
+def _three(size: float) -> tuple[RequestKind, ...]:
     """Three classes of which others hold a request longer than its own work takes; times by size."""
 
     def named(name: str, aim: int, deadline: int, effect: Effect, worth: float) -> RequestClass:
@@ -36,31 +36,40 @@
 
     work = round(100 * size * MS)
     return (
-        Kind(named("read", 750, 1500, Effect.IDEMPOTENT, 5.0), 0.5, work, round(1.6 * work)),
-        Kind(named("list", 1500, 6000, Effect.IDEMPOTENT, 1.0), 0.25, round(1.4 * work), round(1.15 * work)),
-        Kind(named("order", 2500, 6000, Effect.KEYED, 8.0), 0.25, 2 * work, round(4.8 * work)),
+        RequestKind(named("read", 750, 1500, Effect.IDEMPOTENT, 5.0), 0.5, work, round(1.6 * work)),
+        RequestKind(
+            named("list", 1500, 6000, Effect.IDEMPOTENT, 1.0), 0.25, round(1.4 * work), round(1.15 * work)
+        ),
+        RequestKind(named("order", 2500, 6000, Effect.KEYED, 8.0), 0.25, 2 * work, round(4.8 * work)),
     )
 
 
 SHORT = (
-    Kind(RequestClass("read", 80 * MS, 400 * MS, Effect.IDEMPOTENT), 0.8, 12 * MS),
-    Kind(RequestClass("buy", 80 * MS, 500 * MS, Effect.AT_MOST_ONCE, worth=4.0), 0.2, 15 * MS),
+    RequestKind(RequestClass("read", 80 * MS, 400 * MS, Effect.IDEMPOTENT), 0.8, 12 * MS),
+    RequestKind(RequestClass("buy", 80 * MS, 500 * MS, Effect.AT_MOST_ONCE, worth=4.0), 0.2, 15 * MS),
 )
-PAGES = (Kind(RequestClass("page", 400 * MS, 1500 * MS, Effect.IDEMPOTENT), 1.0, 90 * MS),)
+PAGES = (RequestKind(RequestClass("page", 400 * MS, 1500 * MS, Effect.IDEMPOTENT), 1.0, 90 * MS),)
 
 
-def _bad(*servers: int, errors: float = 0.0, silent: bool = False, pause: int = 0) -> Trouble:
-    return Trouble(FROM, UNTIL, frozenset(servers), errors, silent, pause, 2 * SECOND)
+def _bad(*servers: int, errors: float = 0.0, silent: bool = False, pause: int = 0) -> Fault:
+    return Fault(FROM, UNTIL, frozenset(servers), errors, silent, pause, 2 * SECOND)
 
 
 PAUSES = _bad(*range(1, 8), pause=350 * MS)
 
 
-def _overdriven(count: int, gateways: int, load: float, size: float, *bad: Trouble) -> Callable[[int], Fleet]:
+def _overdriven(count: int, gateways: int, load: float, size: float, *bad: Fault) -> Callable[[int], Fleet]:
     def made(seed: int) -> Fleet:
-        fleet = machines(count, (3, 2, 3), UNEQUAL, HELD_TOO_MUCH)
+        fleet = make_machines(count, (3, 2, 3), UNEQUAL, HELD_TOO_MUCH)
         return Fleet(
-            fleet, _three(size), gateways, load, bad, zones="ab", across=round(8 * MS * size), seed=seed
+            fleet,
+            _three(size),
+            gateways,
+            load,
+            bad,
+            zones="ab",
+            cross_zone_delay=round(8 * MS * size),
+            seed=seed,
         )
 
     return made
@@ -68,21 +77,23 @@
 
 def _large(seed: int) -> Fleet:
     bad = [_bad(2, silent=True)]
-    return Fleet(machines(6, (8,)), _three(0.5), 2, 0.7, bad, zones="ab", across=8 * MS, seed=seed)
+    return Fleet(
+        make_machines(6, (8,)), _three(0.5), 2, 0.7, bad, zones="ab", cross_zone_delay=8 * MS, seed=seed
+    )
 
 
 def _short(seed: int) -> Fleet:
-    fleet, bad = machines(8, (8,), (1.5, 1.0)), [_bad(2, errors=0.9)]
-    return Fleet(fleet, SHORT, 1, 0.5, bad, zones="ab", across=14 * MS, seed=seed)
+    fleet, bad = make_machines(8, (8,), (1.5, 1.0)), [_bad(2, errors=0.9)]
+    return Fleet(fleet, SHORT, 1, 0.5, bad, zones="ab", cross_zone_delay=14 * MS, seed=seed)
 
 
 def _short_overload(seed: int) -> Fleet:
-    fleet = machines(4, (8,), (1.5, 1.0))
-    return Fleet(fleet, SHORT, 2, 1.2, zones="ab", across=4 * MS, seed=seed)
+    fleet = make_machines(4, (8,), (1.5, 1.0))
+    return Fleet(fleet, SHORT, 2, 1.2, zones="ab", cross_zone_delay=4 * MS, seed=seed)
 
 
 def _pages(seed: int) -> Fleet:
-    fleet = machines(12, (4,), (2.0, 1.2, 0.8))
+    fleet = make_machines(12, (4,), (2.0, 1.2, 0.8))
     return Fleet(fleet, PAGES, 4, 0.75, [_bad(2, 5, errors=0.8)], zones="ab", seed=seed)
 
 
@@ -107,8 +118,8 @@
 
 def play(setting: str, seed: int) -> Played:
     fleet = SETTINGS[setting](seed)
-    fleet.play(LAST)
-    return Played(setting, fleet.goodput(SECOND, LAST), fleet.overdriven(), dict(fleet.broken))
+    fleet.run(LAST)
+    return Played(setting, fleet.goodput(SECOND, LAST), fleet.overloaded_count(), dict(fleet.violations))
 
 
 def main() -> int:
--- a/standins/coldstart.py
+++ b/standins/coldstart.py
@@ -17,17 +17,17 @@
 class Warmup:
     """How servers warm up; times in microseconds."""
 
-    share: float  # of its capacity that a server has as it starts
-    told_share: float  # the least that the settings tell of that
-    time: int  # until it has all of it
-    multiple: float  # of its capacity that it bears while it is cold
-    window: int  # over which what it is sent is counted
+    initial_share: float  # of its capacity that a server has as it starts
+    announced_share: float  # the least that the settings tell of that
+    ramp_time: int  # until it has all of it
+    overload_multiple: float  # of its capacity that it bears while it is cold
+    overload_window: int  # over which what it is sent is counted
 
-    def warmth(self, started: int, now: int) -> float:
+    def capacity_share(self, started_at: int, now: int) -> float:
         """The part of its capacity that a server has; `started` 0: long ago."""
-        if not started or now >= started + self.time:
+        if not started_at or now >= started_at + self.ramp_time:
             return 1.0
-        return self.share + (1 - self.share) * max(0, now - started) / self.time
+        return self.initial_share + (1 - self.initial_share) * max(0, now - started_at) / self.ramp_time
 
 
 @dataclass
@@ -37,21 +37,21 @@
     warmup: Warmup
     capacity: float  # requests of mean work in a microsecond, when it is warm
     mean_work: float
-    worst: float = -inf  # most that it was sent beyond its budget, in roots of that
-    fell: bool = False
-    _sent: deque[tuple[int, float]] = field(default_factory=deque)
-    _sum: float = 0.0
+    worst_excess: float = -inf  # most that it was sent beyond its budget, in roots of that
+    is_overloaded: bool = False
+    _recent_work: deque[tuple[int, float]] = field(default_factory=deque)
+    _recent_sum: float = 0.0
 
-    def add(self, work: float, started: int, now: int) -> None:
+    def record(self, work: float, started_at: int, now: int) -> None:
         """Count a request of so much work that has reached it."""
-        warmth = self.warmup.warmth(started, now)
-        if warmth == 1.0:
+        capacity_share = self.warmup.capacity_share(started_at, now)
+        if capacity_share == 1.0:
             return
-        self._sent.append((now, work / self.mean_work))
-        self._sum += work / self.mean_work
-        while self._sent[0][0] <= now - self.warmup.window:
-            self._sum -= self._sent.popleft()[1]
-        budget = self.warmup.multiple * warmth * self.capacity * self.warmup.window
-        excess = self._sum - budget
-        self.worst = max(self.worst, excess / sqrt(budget))
-        self.fell = self.fell or excess > 2 * sqrt(budget) + 2
+        self._recent_work.append((now, work / self.mean_work))
+        self._recent_sum += work / self.mean_work
+        while self._recent_work[0][0] <= now - self.warmup.overload_window:
+            self._recent_sum -= self._recent_work.popleft()[1]
+        budget = self.warmup.overload_multiple * capacity_share * self.capacity * self.warmup.overload_window
+        excess = self._recent_sum - budget
+        self.worst_excess = max(self.worst_excess, excess / sqrt(budget))
+        self.is_overloaded = self.is_overloaded or excess > 2 * sqrt(budget) + 2
--- a/standins/control.py
+++ b/standins/control.py
@@ -11,7 +11,7 @@
 async def serve(port: int, command: Command) -> asyncio.Server:
     """Answer each line with what `command` makes of its words, or `error: ...` on a ValueError."""
 
-    async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             try:
                 answer = command(line.decode().split())
@@ -20,10 +20,10 @@
             writer.write(f"{answer}\n".encode())
         writer.close()
 
-    return await asyncio.start_server(talk, "127.0.0.1", port)
+    return await asyncio.start_server(handle_connection, "127.0.0.1", port)
 
 
-async def tell(port: int, line: str) -> str:
+async def send_command(port: int, line: str) -> str:
     """Say one line to a control port; its answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -20,14 +20,14 @@
 
 ROOT = Path(__file__).parent.parent
 CONFIGURATION = ROOT / "deploy" / "example" / "reader.toml"
-CONTROL = 7100
+CONTROL_PORT = 7100
 CLIENTS = 20
-EVERY = 0.05  # seconds between a client's requests, about
-BUYS = 0.2  # part of the requests that buy
-TROUBLE_EVERY = 4.0
-TROUBLES = ("mode {} slow", "mode {} serve", "mode {} reset", "mode {} serve", "down {}", "up {}")
-UP_WITHIN = 10.0
-ANSWER_WITHIN = 10.0  # twice what the longest class waits
+MEAN_REQUEST_INTERVAL = 0.05  # seconds between a client's requests, about
+PURCHASE_SHARE = 0.2  # part of the requests that buy
+FAULT_INTERVAL = 4.0
+FAULT_COMMANDS = ("mode {} slow", "mode {} serve", "mode {} reset", "mode {} serve", "down {}", "up {}")
+START_TIMEOUT = 10.0
+ANSWER_TIMEOUT = 10.0  # twice what the longest class waits
 
 
 class Clients:
@@ -41,43 +41,43 @@
     async def run(self) -> None:
         while True:
             try:
-                await self._run()
+                await self._run_connection()
             except (OSError, asyncio.IncompleteReadError):
                 self.counts["lost"] += 1
 
-    async def _run(self) -> None:
+    async def _run_connection(self) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
         try:
             while True:
-                await asyncio.sleep(random.expovariate(1 / EVERY))
-                buys = random.random() < BUYS
-                line = "POST /chapter-buy/7" if buys else "GET /page-read/7?page=4"
-                begun = time.monotonic()
+                await asyncio.sleep(random.expovariate(1 / MEAN_REQUEST_INTERVAL))
+                is_purchase = random.random() < PURCHASE_SHARE
+                line = "POST /chapter-buy/7" if is_purchase else "GET /page-read/7?page=4"
+                started = time.monotonic()
                 writer.write(f"{line} HTTP/1.1\r\nHost: fleet\r\nContent-Length: 0\r\n\r\n".encode())
-                async with asyncio.timeout(ANSWER_WITHIN):
+                async with asyncio.timeout(ANSWER_TIMEOUT):
                     head = await reader.readuntil(b"\r\n\r\n")
                     length = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
                     await reader.readexactly(length)
-                self.slowest = max(self.slowest, time.monotonic() - begun)
+                self.slowest = max(self.slowest, time.monotonic() - started)
                 status = int(head.split(b" ")[1])
                 self.counts["served" if status == 200 else "refused" if status == 503 else "failed"] += 1
         finally:
             writer.close()
 
 
-async def trouble(ports: list[int]) -> None:
+async def inject_faults(ports: list[int]) -> None:
     """Turn one host bad and well again, in turn."""
     step = 0
     while True:
-        await asyncio.sleep(TROUBLE_EVERY)
-        line = TROUBLES[step % len(TROUBLES)].format(ports[step // 2 % len(ports)])
-        await control.tell(CONTROL, line)
+        await asyncio.sleep(FAULT_INTERVAL)
+        line = FAULT_COMMANDS[step % len(FAULT_COMMANDS)].format(ports[step // 2 % len(ports)])
+        await control.send_command(CONTROL_PORT, line)
         print(f"  host: {line}", flush=True)
         step += 1
 
 
-async def until_up(port: int) -> None:
-    async with asyncio.timeout(UP_WITHIN):
+async def wait_for_port(port: int) -> None:
+    async with asyncio.timeout(START_TIMEOUT):
         while True:
             try:
                 _, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -87,29 +87,32 @@
                 await asyncio.sleep(0.05)
 
 
-async def show(seconds: float) -> None:
+async def run_load(seconds: float) -> None:
     """Run the load and print a line a second; for ever if `seconds` is 0."""
     model = load(CONFIGURATION).model
     assert model.listen.address is not None
     ports = [host.port for host in model.discovery.hosts]
-    for port in (CONTROL, *ports, model.listen.address.port):
-        await until_up(port)
+    for port in (CONTROL_PORT, *ports, model.listen.address.port):
+        await wait_for_port(port)
     clients = Clients(model.listen.address.port)
     tasks = [asyncio.create_task(clients.run()) for _ in range(CLIENTS)]
-    tasks.append(asyncio.create_task(trouble(ports)))
-    begun = time.monotonic()
-    while not seconds or time.monotonic() < begun + seconds:
+    tasks.append(asyncio.create_task(inject_faults(ports)))
+    started = time.monotonic()
+    while not seconds or time.monotonic() < started + seconds:
         await asyncio.sleep(1)
-        told = ", ".join(f"{clients.counts[kind]} {kind}" for kind in ("served", "refused", "failed", "lost"))
+        counts = ", ".join(
+            f"{clients.counts[outcome]} {outcome}" for outcome in ("served", "refused", "failed", "lost")
+        )
         print(
-            f"{time.monotonic() - begun:4.0f} s: {told}; slowest {clients.slowest * 1000:.0f} ms", flush=True
+            f"{time.monotonic() - started:4.0f} s: {counts}; slowest {clients.slowest * 1000:.0f} ms",
+            flush=True,
         )
         clients.counts.clear()
         clients.slowest = 0.0
     for task in tasks:
         task.cancel()
     for port in ports:
-        print(f"host {port}: {await control.tell(CONTROL, f'count {port}')}")
+        print(f"host {port}: {await control.send_command(CONTROL_PORT, f'count {port}')}")
 
 
 def main() -> int:
@@ -117,12 +120,12 @@
     model = load(CONFIGURATION).model
     ports = [str(host.port) for host in model.discovery.hosts]
     commands = [
-        [sys.executable, "-m", "standins.web", str(CONTROL), *ports],
+        [sys.executable, "-m", "standins.web", str(CONTROL_PORT), *ports],
         [sys.executable, "-m", "whinrouter.operator.cli", "run", "--operator", str(CONFIGURATION)],
     ]
     children = [subprocess.Popen(command, cwd=ROOT) for command in commands]
     try:
-        asyncio.run(show(seconds))
+        asyncio.run(run_load(seconds))
     except KeyboardInterrupt:
         print()
     except TimeoutError:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -26,7 +26,7 @@
     library: Path,
     calls: Mapping[str, int] | None = None,
     steps: Iterable[float] = (),
-    every: float = 2.0,
+    step_seconds: float = 2.0,
     seed: int = 1,
 ) -> dict[str, str]:
     """What a process is started with to have these faults.
@@ -38,6 +38,6 @@
         "LD_PRELOAD": str(library),
         "FAULTS_CALLS": ",".join(f"{kind}:{count}" for kind, count in (calls or {}).items()),
         "FAULTS_STEPS": ",".join(str(step) for step in steps),
-        "FAULTS_EVERY": str(every),
+        "FAULTS_EVERY": str(step_seconds),
         "FAULTS_SEED": str(seed),
     }
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -45,39 +45,39 @@
     Update,
 )
 
-NETWORK = MS // 2  # one way, between a gateway and a server of its zone
-FAILS_IN = MS  # a server that fails fast answers within this
+NETWORK_DELAY = MS // 2  # one way, between a gateway and a server of its zone
+FAST_FAILURE_DELAY = MS  # a server that fails fast answers within this
 
 
 @dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """One class of request as it comes: its part of the arrivals, core time, and time held for others."""
 
-    named: RequestClass
-    part: float
-    work: int  # mean microseconds of a core of speed 1, exponential
-    held: int = 0  # mean microseconds beside it, exponential
+    request_class: RequestClass
+    share: float
+    core_time: int  # mean microseconds of a core of speed 1, exponential
+    wait_time: int = 0  # mean microseconds beside it, exponential
 
 
 @dataclass(frozen=True)
-class Trouble:
+class Fault:
     """What befalls some servers from one moment to another, in microseconds since the start."""
 
-    begins: int
-    ends: int
+    starts_at: int
+    ends_at: int
     servers: frozenset[int]
-    errors: float = 0.0  # share of requests that fail fast
-    silent: bool = False
+    error_share: float = 0.0  # share of requests that fail fast
+    is_silent: bool = False
     pause: int = 0  # stands still for so long, every so often
-    every: int = SECOND
+    pause_interval: int = SECOND
 
 
 @dataclass(frozen=True)
 class Burst:
     """So many times the load, from one moment to another."""
 
-    begins: int
-    ends: int
+    starts_at: int
+    ends_at: int
     factor: float
 
 
@@ -89,88 +89,106 @@
     zone: str
     cores: int
     speed: float = 1.0
-    at: float = 0.0  # 0: never overdriven
-    over: int = 2 * SECOND
-    slower: float = 2.5
-    rests: int = 3 * SECOND
-    free: list[int] = field(default_factory=list)  # when each core is
-    held: int = 0
-    started: int = 0  # when its process was started anew; 0: long ago
+    overload_threshold: float = 0.0  # 0: never overdriven
+    overload_delay: int = 2 * SECOND
+    slowdown: float = 2.5
+    recovery_time: int = 3 * SECOND
+    cores_free_at: list[int] = field(default_factory=list)  # when each core is
+    in_flight: int = 0
+    started_at: int = 0  # when its process was started anew; 0: long ago
     warmup: Warmup | None = None  # None: it is warm at once
-    overdriven: bool = False
-    since: int | None = None  # since when it holds too much, or, overdriven, next to nothing
+    is_overloaded: bool = False
+    condition_since: int | None = None  # since when it holds too much, or, overdriven, next to nothing
 
     def __post_init__(self) -> None:
-        self.free = [0] * self.cores
+        self.cores_free_at = [0] * self.cores
 
-    def look(self, now: int) -> None:
+    def update_overload(self, now: int) -> None:
         """Turn slow, or recover, if what it holds says so for long enough; looked at with each change."""
-        if not self.at:
+        if not self.overload_threshold:
             return
-        if not (self.held < 0.4 * self.cores if self.overdriven else self.held > self.at * self.cores):
-            self.since = None
-        elif self.since is None:
-            self.since = now
-        elif now - self.since >= (self.rests if self.overdriven else self.over):
-            self.overdriven, self.since = not self.overdriven, None
-
-    def work(self, now: int, work: float, held: float, pauses: Sequence[Trouble]) -> int:
+        if not (
+            self.in_flight < 0.4 * self.cores
+            if self.is_overloaded
+            else self.in_flight > self.overload_threshold * self.cores
+        ):
+            self.condition_since = None
+        elif self.condition_since is None:
+            self.condition_since = now
+        elif now - self.condition_since >= (
+            self.recovery_time if self.is_overloaded else self.overload_delay
+        ):
+            self.is_overloaded, self.condition_since = not self.is_overloaded, None
+
+    def process(self, now: int, core_time: float, wait_time: float, faults: Sequence[Fault]) -> int:
         """When the answer is ready."""
-        done = max(now, heapq.heappop(self.free))
-        warmth = self.warmup.warmth(self.started, now) if self.warmup is not None else 1.0
-        left = round(work / (self.speed * warmth) * (self.slower if self.overdriven else 1))
-        while left > 0:
-            done = max([self._wakes(each, done) for each in pauses], default=done)
-            runs = min([self._pauses(each, done) - done for each in pauses], default=left)
-            done, left = done + min(left, runs), left - runs
-        heapq.heappush(self.free, done)
-        return done + round(held)
-
-    def _into(self, pausing: Trouble, at: int) -> int:
+        finished_at = max(now, heapq.heappop(self.cores_free_at))
+        capacity_share = self.warmup.capacity_share(self.started_at, now) if self.warmup is not None else 1.0
+        remaining = round(
+            core_time / (self.speed * capacity_share) * (self.slowdown if self.is_overloaded else 1)
+        )
+        while remaining > 0:
+            finished_at = max(
+                [self._resume_time(fault, finished_at) for fault in faults], default=finished_at
+            )
+            running_time = min(
+                [self._next_pause(fault, finished_at) - finished_at for fault in faults], default=remaining
+            )
+            finished_at, remaining = finished_at + min(remaining, running_time), remaining - running_time
+        heapq.heappush(self.cores_free_at, finished_at)
+        return finished_at + round(wait_time)
+
+    def _pause_phase(self, fault: Fault, time: int) -> int:
         """How far into its turn it is; servers pause one after the other."""
-        return (at - pausing.begins + self.id * pausing.every // 7) % pausing.every
+        return (time - fault.starts_at + self.id * fault.pause_interval // 7) % fault.pause_interval
 
-    def _wakes(self, pausing: Trouble, at: int) -> int:
-        return at + max(0, pausing.pause - self._into(pausing, at)) if at < pausing.ends else at
+    def _resume_time(self, fault: Fault, time: int) -> int:
+        return time + max(0, fault.pause - self._pause_phase(fault, time)) if time < fault.ends_at else time
 
-    def _pauses(self, pausing: Trouble, at: int) -> int:
+    def _next_pause(self, fault: Fault, time: int) -> int:
         """When the next pause begins."""
-        return at + pausing.every - self._into(pausing, at)
+        return time + fault.pause_interval - self._pause_phase(fault, time)
 
 
-def machines(
-    count: int, cores: Sequence[int], speeds: Sequence[float] = (1.0,), at: float = 0.0
+def make_machines(
+    count: int, cores: Sequence[int], speeds: Sequence[float] = (1.0,), overload_threshold: float = 0.0
 ) -> list[Machine]:
     """So many, in two zones in turn, of so many cores and such speeds in turn."""
     return [
-        Machine(each, "ab"[each % 2], cores[each % len(cores)], speeds[each % len(speeds)], at=at)
-        for each in range(1, count + 1)
+        Machine(
+            machine_id,
+            "ab"[machine_id % 2],
+            cores[machine_id % len(cores)],
+            speeds[machine_id % len(speeds)],
+            overload_threshold=overload_threshold,
+        )
+        for machine_id in range(1, count + 1)
     ]
 
 
 @dataclass
-class Asked:
+class ClientRequest:
     """A client's request at one gateway."""
 
-    kind: Kind
-    at: int
+    kind: RequestKind
+    arrived_at: int
     deadline: int
     key: int
-    work: float
-    held: float
-    attempts: list[Try] = field(default_factory=list)
+    core_time: float
+    wait_time: float
+    attempts: list[AttemptRecord] = field(default_factory=list)
     answers: list[str] = field(default_factory=list)
     answered_at: int = 0
 
 
 @dataclass
-class Try:
+class AttemptRecord:
     server: int
-    sent: int
-    over: bool = False
+    sent_at: int
+    has_ended: bool = False
 
 
-class Decider(Protocol):
+class DecisionModule(Protocol):
     def handle(self, event: Event, now: int) -> list[Action]: ...
 
 
@@ -180,73 +198,84 @@
     def __init__(self, fleet: Fleet, settings: Settings, seed: int) -> None:
         self._fleet = fleet
         self._settings = settings
-        self._told: dict[int, State] = {}
-        self._asked: dict[int, Asked] = {}
-        self.balancer: Decider = Balancer(settings, seed)
+        self._listed_states: dict[int, State] = {}
+        self._requests: dict[int, ClientRequest] = {}
+        self.balancer: DecisionModule = Balancer(settings, seed)
 
-    def tell(self, servers: Sequence[Server]) -> None:
-        self._told = {server.id: server.state for server in servers}
-        self._feed(ServerList(Update.FULL, tuple(servers)))
+    def list_servers(self, servers: Sequence[Server]) -> None:
+        self._listed_states = {server.id: server.state for server in servers}
+        self._handle(ServerList(Update.FULL, tuple(servers)))
 
-    def ask(self, number: int, asked: Asked) -> None:
-        self._asked[number] = asked
-        self._fleet.later(asked.deadline, lambda: self._expire(number))
-        name = asked.kind.named.name
-        self._feed(Request(number, name, asked.deadline - self._fleet.now, key=str(asked.key)))
+    def submit(self, number: int, request: ClientRequest) -> None:
+        self._requests[number] = request
+        self._fleet.schedule(request.deadline, lambda: self._expire(number))
+        name = request.kind.request_class.name
+        self._handle(Request(number, name, request.deadline - self._fleet.now, key=str(request.key)))
 
-    def _feed(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         for action in self.balancer.handle(event, self._fleet.now):
-            self._do(action)
+            self._execute(action)
 
-    def _do(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, Send):
             self._send(action)
         elif isinstance(action, Refuse | Fail):
-            self._answer(self._asked[action.request], "refused" if isinstance(action, Refuse) else "failed")
+            self._answer(
+                self._requests[action.request], "refused" if isinstance(action, Refuse) else "failed"
+            )
         elif isinstance(action, SetTimer):
             token = action.token
-            self._fleet.later(self._fleet.now + action.delay, lambda: self._feed(TimerFired(token)))
+            self._fleet.schedule(self._fleet.now + action.delay, lambda: self._handle(TimerFired(token)))
         elif isinstance(action, Cancel):
             number, attempt = action.request, action.attempt
-            self._fleet.later(self._fleet.now, lambda: self._end(number, attempt, Outcome.CANCELLED))
+            self._fleet.schedule(
+                self._fleet.now, lambda: self._end_attempt(number, attempt, Outcome.CANCELLED)
+            )
 
     def _send(self, action: Send) -> None:
         fleet, number = self._fleet, action.request
-        asked = self._asked[number]
-        attempt = len(asked.attempts)
-        asked.attempts.append(Try(action.server, fleet.now))
-        fleet.count("send after its answer", bool(asked.answers))
-        fleet.count("send to a server told to leave", self._told.get(action.server) is not State.READY)
-        fleet.count("send past the deadline", fleet.now >= asked.deadline)
-        fleet.serve(self._settings.zone, asked, action.server, lambda how: self._end(number, attempt, how))
-
-    def _end(self, number: int, attempt: int, outcome: Outcome) -> None:
-        asked = self._asked.get(number)
-        if asked is None or asked.attempts[attempt].over:
+        request = self._requests[number]
+        attempt = len(request.attempts)
+        request.attempts.append(AttemptRecord(action.server, fleet.now))
+        fleet.count_violation("send after its answer", bool(request.answers))
+        fleet.count_violation(
+            "send to a server told to leave", self._listed_states.get(action.server) is not State.READY
+        )
+        fleet.count_violation("send past the deadline", fleet.now >= request.deadline)
+        fleet.serve(
+            self._settings.zone,
+            request,
+            action.server,
+            lambda outcome: self._end_attempt(number, attempt, outcome),
+        )
+
+    def _end_attempt(self, number: int, attempt: int, outcome: Outcome) -> None:
+        request = self._requests.get(number)
+        if request is None or request.attempts[attempt].has_ended:
             return
-        tried = asked.attempts[attempt]
-        tried.over = True
-        if outcome is Outcome.OK and not asked.answers:
-            self._answer(asked, "served")
-        latency, answered = self._fleet.now - tried.sent, bool(asked.answers)
-        self._feed(AttemptEnded(number, attempt, tried.server, outcome, latency, answered))
-        if asked.answers and all(each.over for each in asked.attempts):
-            self._asked.pop(number, None)
-
-    def _answer(self, asked: Asked, how: str) -> None:
-        self._fleet.count("answer too many", bool(asked.answers))
-        asked.answers.append(how)
-        asked.answered_at = self._fleet.now
+        record = request.attempts[attempt]
+        record.has_ended = True
+        if outcome is Outcome.OK and not request.answers:
+            self._answer(request, "served")
+        latency, answered = self._fleet.now - record.sent_at, bool(request.answers)
+        self._handle(AttemptEnded(number, attempt, record.server, outcome, latency, answered))
+        if request.answers and all(each.has_ended for each in request.attempts):
+            self._requests.pop(number, None)
+
+    def _answer(self, request: ClientRequest, answer: str) -> None:
+        self._fleet.count_violation("answer too many", bool(request.answers))
+        request.answers.append(answer)
+        request.answered_at = self._fleet.now
 
     def _expire(self, number: int) -> None:
         """Its client's time is up: what is out has timed out, and the balancer says what it says."""
-        asked = self._asked.get(number)
-        if asked is None:
+        request = self._requests.get(number)
+        if request is None:
             return
-        for attempt, tried in enumerate(asked.attempts):
-            if not tried.over:
-                self._end(number, attempt, Outcome.TIMEOUT)
-        self._asked.pop(number, None)
+        for attempt, record in enumerate(request.attempts):
+            if not record.has_ended:
+                self._end_attempt(number, attempt, Outcome.TIMEOUT)
+        self._requests.pop(number, None)
 
 
 @dataclass
@@ -254,175 +283,197 @@
     """The whole of it. `load` is the share of what all cores can do that first tries ask for."""
 
     machines: Sequence[Machine]
-    kinds: Sequence[Kind]
-    gateways: int
+    request_kinds: Sequence[RequestKind]
+    gateway_count: int
     load: float
-    troubles: Sequence[Trouble] = ()
+    faults: Sequence[Fault] = ()
     retries: int = 1  # by clients, 100 ms after a refusal or failure, within the deadline
     zones: Sequence[str] = ("a",)
-    across: int = 2 * MS  # one way, to another zone
+    cross_zone_delay: int = 2 * MS  # one way, to another zone
     warmup: Warmup | None = None
     bursts: Sequence[Burst] = ()
     seed: int = 1
     now: int = 0
-    broken: Counter[str] = field(default_factory=Counter)
-    cold: list[ColdLoad] = field(default_factory=list)  # of each server that was started anew
-    asked: list[list[Asked]] = field(default_factory=list)  # by client's request, its tries
+    violations: Counter[str] = field(default_factory=Counter)
+    cold_loads: list[ColdLoad] = field(default_factory=list)  # of each server that was started anew
+    client_requests: list[list[ClientRequest]] = field(default_factory=list)  # by client's request, its tries
 
     def __post_init__(self) -> None:
         self._random = Random(self.seed)
-        self._due: list[tuple[int, int, Callable[[], None]]] = []
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._numbers = itertools.count(1)
+        self._ids = itertools.count(1)
         self._by_id = {machine.id: machine for machine in self.machines}
-        self._holding: dict[int, dict[int, Callable[[Outcome], None]]] = {}  # by server, what it owes
-        self._ran: dict[int, list[tuple[str, int]]] = {}  # by key, in which zone and when it ran
+        self._unanswered: dict[int, dict[int, Callable[[Outcome], None]]] = {}  # by server, what it owes
+        self._executions: dict[int, list[tuple[str, int]]] = {}  # by key, in which zone and when it ran
         self._cold_by_server: dict[int, ColdLoad] = {}
-        parts = sum(kind.part for kind in self.kinds)
-        self._mean_work = sum(kind.part * kind.work for kind in self.kinds) / parts
-        named = tuple(kind.named for kind in self.kinds)
-        self.doors = [
-            Gateway(self, self._settings(named, rank), self.seed * 1000 + rank)
-            for rank in range(self.gateways)
+        total_share = sum(kind.share for kind in self.request_kinds)
+        self._mean_work = sum(kind.share * kind.core_time for kind in self.request_kinds) / total_share
+        request_classes = tuple(kind.request_class for kind in self.request_kinds)
+        self.gateways = [
+            Gateway(self, self._settings(request_classes, rank), self.seed * 1000 + rank)
+            for rank in range(self.gateway_count)
         ]
 
-    def _settings(self, named: tuple[RequestClass, ...], rank: int) -> Settings:
+    def _settings(self, request_classes: tuple[RequestClass, ...], rank: int) -> Settings:
         zone = self.zones[rank % len(self.zones)]
         settings = Settings(
-            named, zone, self.gateways, rank, max_attempts=4, may_hedge=True, may_cancel=True,
+            request_classes, zone, self.gateway_count, rank, max_attempts=4, may_hedge=True, may_cancel=True,
         )  # fmt: skip
         if self.warmup is None:
             return settings
         warmup = self.warmup
         return replace(
             settings,
-            cold_share=warmup.told_share,
-            ramp_time=warmup.time,
-            fall_multiple=warmup.multiple,
-            fall_time=warmup.window,
+            cold_share=warmup.announced_share,
+            ramp_time=warmup.ramp_time,
+            cold_overload_multiple=warmup.overload_multiple,
+            cold_overload_window=warmup.overload_window,
         )
 
-    def later(self, due: int, what: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (due, next(self._order), what))
+    def schedule(self, due: int, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (due, next(self._order), callback))
 
-    def count(self, rule: str, broken: bool) -> None:
-        if broken:
-            self.broken[rule] += 1
+    def count_violation(self, rule: str, is_broken: bool) -> None:
+        if is_broken:
+            self.violations[rule] += 1
 
     def list_servers(self, leaving: frozenset[int] = frozenset()) -> None:
-        told = [
+        servers = [
             Server(
                 each.id,
                 State.DRAINING if each.id in leaving else State.READY,
                 each.zone,
-                started=each.started,
+                started_at=each.started_at,
             )
             for each in self.machines
         ]
-        for door in self.doors:
-            door.tell(told)
+        for gateway in self.gateways:
+            gateway.list_servers(servers)
 
     def restart(self, server: int) -> None:
         """Its process starts anew: what it holds is lost, after it ran. What its zone remembers stays."""
         old = self._by_id[server]
         new = self._by_id[server] = Machine(
-            server, old.zone, old.cores, old.speed, old.at, started=self.now, warmup=self.warmup
+            server,
+            old.zone,
+            old.cores,
+            old.speed,
+            old.overload_threshold,
+            started_at=self.now,
+            warmup=self.warmup,
         )
         if self.warmup is not None:
             load = ColdLoad(self.warmup, new.cores * new.speed / self._mean_work, self._mean_work)
             self._cold_by_server[server] = load
-            self.cold.append(load)
+            self.cold_loads.append(load)
         self.machines = [new if each is old else each for each in self.machines]
-        for end in self._holding.pop(server, {}).values():
-            self.later(self.now + NETWORK, partial(end, Outcome.RESET))
+        for end in self._unanswered.pop(server, {}).values():
+            self.schedule(self.now + NETWORK_DELAY, partial(end, Outcome.RESET))
         self.list_servers()
 
-    def play(self, until: int) -> None:
+    def run(self, until: int) -> None:
         """From the start to the end of the arrivals, and on until all is answered."""
         self.list_servers()
         rate = self.load * sum(each.cores * each.speed for each in self.machines) / self._mean_work
         arrives = 0.0
-        while (arrives := arrives + self._random.expovariate(rate * self._factor(arrives))) < until:
-            self.later(round(arrives), self._arrive)
-        while self._due:
-            self.now, _, what = heapq.heappop(self._due)
-            what()
+        while (arrives := arrives + self._random.expovariate(rate * self._load_factor(arrives))) < until:
+            self.schedule(round(arrives), self._arrive)
+        while self._events:
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
 
-    def _factor(self, at: float) -> float:
-        return next((burst.factor for burst in self.bursts if burst.begins <= at < burst.ends), 1.0)
+    def _load_factor(self, at: float) -> float:
+        return next((burst.factor for burst in self.bursts if burst.starts_at <= at < burst.ends_at), 1.0)
 
     def _arrive(self) -> None:
-        kind = self._random.choices(self.kinds, [each.part for each in self.kinds])[0]
-        work, held = (self._random.expovariate(1 / mean) if mean else 0.0 for mean in (kind.work, kind.held))
-        first = Asked(kind, self.now, self.now + kind.named.deadline, next(self._numbers), work, held)
-        tries = [first]
-        self.asked.append(tries)
-        self._ask(first, tries)
-
-    def _ask(self, asked: Asked, tries: list[Asked]) -> None:
-        door = self._random.choice(self.doors)
-        door.ask(next(self._numbers), asked)
-        self.later(asked.deadline, lambda: self.count("no answer in time", not asked.answers))
-        if len(tries) <= self.retries:
-            self.later(self.now + 100 * MS, lambda: self._again(asked, tries))
-
-    def _again(self, asked: Asked, tries: list[Asked]) -> None:
+        kind = self._random.choices(self.request_kinds, [each.share for each in self.request_kinds])[0]
+        core_time, wait_time = (
+            self._random.expovariate(1 / mean) if mean else 0.0 for mean in (kind.core_time, kind.wait_time)
+        )
+        first = ClientRequest(
+            kind, self.now, self.now + kind.request_class.deadline, next(self._ids), core_time, wait_time
+        )
+        submissions = [first]
+        self.client_requests.append(submissions)
+        self._submit(first, submissions)
+
+    def _submit(self, request: ClientRequest, submissions: list[ClientRequest]) -> None:
+        gateway = self._random.choice(self.gateways)
+        gateway.submit(next(self._ids), request)
+        self.schedule(
+            request.deadline, lambda: self.count_violation("no answer in time", not request.answers)
+        )
+        if len(submissions) <= self.retries:
+            self.schedule(self.now + 100 * MS, lambda: self._retry(request, submissions))
+
+    def _retry(self, request: ClientRequest, submissions: list[ClientRequest]) -> None:
         """A client looks 100 ms later whether it was turned away; a key stays the same for its repeat."""
-        if not asked.answers or asked.answers[0] == "served" or self.now >= asked.deadline:
+        if not request.answers or request.answers[0] == "served" or self.now >= request.deadline:
             return
-        if asked.answers[0] == "failed" and asked.kind.named.effect is not Effect.IDEMPOTENT:
+        if request.answers[0] == "failed" and request.kind.request_class.effect is not Effect.IDEMPOTENT:
             return
-        again = Asked(asked.kind, self.now, asked.deadline, asked.key, asked.work, asked.held)
-        tries.append(again)
-        self._ask(again, tries)
+        again = ClientRequest(
+            request.kind, self.now, request.deadline, request.key, request.core_time, request.wait_time
+        )
+        submissions.append(again)
+        self._submit(again, submissions)
 
-    def serve(self, zone: str, asked: Asked, server: int, end: Callable[[Outcome], None]) -> None:
+    def serve(self, zone: str, request: ClientRequest, server: int, end: Callable[[Outcome], None]) -> None:
         machine = self._by_id[server]
-        way = NETWORK if machine.zone == zone else self.across
-        self.later(self.now + way, lambda: self._reach(machine, asked, way, end))
+        delay = NETWORK_DELAY if machine.zone == zone else self.cross_zone_delay
+        self.schedule(self.now + delay, lambda: self._reach_server(machine, request, delay, end))
 
-    def _reach(self, machine: Machine, asked: Asked, way: int, end: Callable[[Outcome], None]) -> None:
+    def _reach_server(
+        self, machine: Machine, request: ClientRequest, delay: int, end: Callable[[Outcome], None]
+    ) -> None:
         if machine.id in self._cold_by_server:
-            self._cold_by_server[machine.id].add(asked.work, machine.started, self.now)
-        mine = [t for t in self.troubles if t.begins <= self.now < t.ends and machine.id in t.servers]
-        if any(self._random.random() < trouble.errors for trouble in mine):
-            self.later(self.now + FAILS_IN + way, lambda: end(Outcome.ERROR))
+            self._cold_by_server[machine.id].record(request.core_time, machine.started_at, self.now)
+        active_faults = [
+            fault
+            for fault in self.faults
+            if fault.starts_at <= self.now < fault.ends_at and machine.id in fault.servers
+        ]
+        if any(self._random.random() < fault.error_share for fault in active_faults):
+            self.schedule(self.now + FAST_FAILURE_DELAY + delay, lambda: end(Outcome.ERROR))
             return
-        self._run(machine, asked)
-        if any(trouble.silent for trouble in mine):
+        self._execute(machine, request)
+        if any(fault.is_silent for fault in active_faults):
             return
-        machine.look(self.now)  # it may have rested until now
-        machine.held += 1
-        machine.look(self.now)
-        done = machine.work(self.now, asked.work, asked.held, [each for each in mine if each.pause])
-        owed = next(self._numbers)
-        self._holding.setdefault(machine.id, {})[owed] = end
-        self.later(done, lambda: self._leave(machine, owed, way))
-
-    def _leave(self, machine: Machine, owed: int, way: int) -> None:
+        machine.update_overload(self.now)  # it may have rested until now
+        machine.in_flight += 1
+        machine.update_overload(self.now)
+        finished_at = machine.process(
+            self.now, request.core_time, request.wait_time, [fault for fault in active_faults if fault.pause]
+        )
+        work_id = next(self._ids)
+        self._unanswered.setdefault(machine.id, {})[work_id] = end
+        self.schedule(finished_at, lambda: self._complete(machine, work_id, delay))
+
+    def _complete(self, machine: Machine, work_id: int, delay: int) -> None:
         if self._by_id[machine.id] is not machine:  # that process is gone, and what it owed with it
             return
-        machine.held -= 1
-        machine.look(self.now)
-        self.later(self.now + way, partial(self._holding[machine.id].pop(owed), Outcome.OK))
+        machine.in_flight -= 1
+        machine.update_overload(self.now)
+        self.schedule(self.now + delay, partial(self._unanswered[machine.id].pop(work_id), Outcome.OK))
 
-    def _run(self, machine: Machine, asked: Asked) -> None:
+    def _execute(self, machine: Machine, request: ClientRequest) -> None:
         """It runs, unless the group of its key drops it; what it must not do twice is counted."""
-        kind, ran = asked.kind.named, self._ran.setdefault(asked.key, [])
-        fresh = [zone for zone, at in ran if self.now < at + max(kind.dedup_window, 1)]
+        kind, executions = request.kind.request_class, self._executions.setdefault(request.key, [])
+        fresh = [zone for zone, at in executions if self.now < at + max(kind.dedup_window, 1)]
         if kind.effect is Effect.KEYED and machine.zone in fresh:
             return
-        self.count("effect twice", bool(ran) and kind.effect is not Effect.IDEMPOTENT)
-        ran.append((machine.zone, self.now))
+        self.count_violation("effect twice", bool(executions) and kind.effect is not Effect.IDEMPOTENT)
+        executions.append((machine.zone, self.now))
 
-    def goodput(self, begins: int, ends: int) -> float:
+    def goodput(self, start: int, end: int) -> float:
         """Share of the clients' requests of that time that were served within their aim."""
-        tries = [each for each in self.asked if begins <= each[0].at < ends]
-        return sum(self._in_time(each) for each in tries) / max(1, len(tries))
+        submissions = [each for each in self.client_requests if start <= each[0].arrived_at < end]
+        return sum(self._in_time(each) for each in submissions) / max(1, len(submissions))
 
-    def _in_time(self, tries: Sequence[Asked]) -> bool:
-        due = tries[0].at + tries[0].kind.named.aim
-        return any(each.answers[:1] == ["served"] and each.answered_at <= due for each in tries)
+    def _in_time(self, submissions: Sequence[ClientRequest]) -> bool:
+        due = submissions[0].arrived_at + submissions[0].kind.request_class.aim
+        return any(each.answers[:1] == ["served"] and each.answered_at <= due for each in submissions)
 
-    def overdriven(self) -> int:
-        return sum(machine.overdriven for machine in self.machines)
+    def overloaded_count(self) -> int:
+        return sum(machine.is_overloaded for machine in self.machines)
--- a/standins/web.py
+++ b/standins/web.py
@@ -17,10 +17,10 @@
 from standins import control
 
 MODES = ("serve", "slow", "silent", "reset", "fail", "refuse")
-SLOW = 0.5  # seconds
-MOST_IDS = 1_000_000  # that are remembered for the count
+SLOW_SECONDS = 0.5  # seconds
+MAX_IDS = 1_000_000  # that are remembered for the count
 
-_ANSWERS = {
+_RESPONSES = {
     "serve": b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\npage\n",
     "fail": b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
     "refuse": b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -33,35 +33,35 @@
     def __init__(self, port: int) -> None:
         self.port = port
         self.mode = "serve"
-        self.ids: Counter[str] = Counter()
+        self.request_counts: Counter[str] = Counter()
         self._server: asyncio.Server | None = None
         self.connections: set[_Connection] = set()
 
-    async def up(self) -> None:
+    async def start(self) -> None:
         """Listen, if it does not."""
         if self._server is None:
             loop = asyncio.get_running_loop()
             self._server = await loop.create_server(lambda: _Connection(self), "127.0.0.1", self.port)
             self.port = self._server.sockets[0].getsockname()[1]
 
-    def down(self) -> None:
+    def stop(self) -> None:
         """Be gone at once, with all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
         for connection in list(self.connections):
-            connection.end()
+            connection.abort()
 
-    def began(self, name: str) -> None:
-        if len(self.ids) < MOST_IDS or name in self.ids:
-            self.ids[name] += 1
+    def count_request(self, request_id: str) -> None:
+        if len(self.request_counts) < MAX_IDS or request_id in self.request_counts:
+            self.request_counts[request_id] += 1
 
 
 class _Connection(asyncio.Protocol):
     def __init__(self, host: Host) -> None:
         self._host = host
         self._parser = httptools.HttpRequestParser(self)
-        self._name = ""
+        self._request_id = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -71,33 +71,33 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._host.connections.discard(self)
 
-    def end(self) -> None:
+    def abort(self) -> None:
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.end()
+            self.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"x-request-id":
-            self._name = value.decode("latin-1")
+            self._request_id = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
         mode = self._host.mode
         if mode != "refuse":
-            self._host.began(self._name)
+            self._host.count_request(self._request_id)
         if mode == "reset":
-            self.end()
+            self.abort()
         elif mode == "slow":
-            asyncio.get_running_loop().call_later(SLOW, self._write, _ANSWERS["serve"])
+            asyncio.get_running_loop().call_later(SLOW_SECONDS, self._write, _RESPONSES["serve"])
         elif mode != "silent":
-            self._write(_ANSWERS[mode])
+            self._write(_RESPONSES[mode])
 
-    def _write(self, text: bytes) -> None:
+    def _write(self, response: bytes) -> None:
         if not self._transport.is_closing():
-            self._transport.write(text)
+            self._transport.write(response)
 
 
 class Fleet:
@@ -107,18 +107,18 @@
         self.hosts = {port: Host(port) for port in ports}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def command(self, words: list[str]) -> str:
+    def run_command(self, words: list[str]) -> str:
         """Carry out one line; ValueError if it is none."""
         match words:
             case ["mode", port, mode] if mode in MODES:
                 self._host(port).mode = mode
             case ["count", port]:
-                ids = self._host(port).ids
-                return f"all {sum(ids.values())}, twice {sum(count > 1 for count in ids.values())}"
+                counts = self._host(port).request_counts
+                return f"all {sum(counts.values())}, twice {sum(count > 1 for count in counts.values())}"
             case ["down", port]:
-                self._host(port).down()
+                self._host(port).stop()
             case ["up", port]:
-                task = asyncio.get_running_loop().create_task(self._host(port).up())
+                task = asyncio.get_running_loop().create_task(self._host(port).start())
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             case _:
@@ -136,8 +136,8 @@
     """Serve until cancelled."""
     fleet = Fleet(ports)
     for host in fleet.hosts.values():
-        await host.up()
-    server = await control.serve(control_port, fleet.command)
+        await host.start()
+    server = await control.serve(control_port, fleet.run_command)
     await server.serve_forever()
 
 
--- a/tests/control/test_calls.py
+++ b/tests/control/test_calls.py
@@ -12,18 +12,28 @@
 from pathlib import Path
 from typing import Any
 
-from tests.peers import GENEROUS, Client, Peer, peers, request_text, says, scenario, silent, until
-from tests.processes import logged
+from tests.peers import (
+    TEST_TIMEOUT_SECONDS,
+    Client,
+    ScriptedServer,
+    answers_with,
+    async_test,
+    never_answers,
+    request_text,
+    scripted_servers,
+    wait_until,
+)
+from tests.processes import wait_for_log
 from tests.test_discovery import HEAD, chunk, line
-from tests.test_program import SETUP, is_up, program, told, write
+from tests.test_program import SETTINGS, platform_config, running_program, up_status, write_config
 from whinrouter.net.http import Message
 
 
-async def ask(port: int, text: str) -> str:
+async def control_call(port: int, call: str) -> str:
     """The answer to a call."""
-    async with asyncio.timeout(GENEROUS):
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(text.encode() + b"\r\n")
+        writer.write(call.encode() + b"\r\n")
         answer = (await reader.read()).decode()
         writer.close()
     assert answer.endswith("\r\n")
@@ -31,98 +41,110 @@
 
 
 @asynccontextmanager
-async def operated(folder: Path, config: dict[str, Any]) -> AsyncIterator[tuple[Any, int, int]]:
+async def running_with_control(folder: Path, config: dict[str, Any]) -> AsyncIterator[tuple[Any, int, int]]:
     """A gateway's process, the port of its clients and that of its operators."""
-    async with program(folder, config, PROXY_CONTROL="127.0.0.1:0") as process:
-        control = int((await logged(process, "takes calls on")).rsplit(":", 1)[1])
-        yield process, int((await logged(process, "listens on")).rsplit(":", 1)[1]), control
+    async with running_program(folder, config, PROXY_CONTROL="127.0.0.1:0") as process:
+        control = int((await wait_for_log(process, "takes calls on")).rsplit(":", 1)[1])
+        yield process, int((await wait_for_log(process, "listens on")).rsplit(":", 1)[1]), control
 
 
 async def _watch(request: Message, writer: asyncio.StreamWriter) -> None:
     writer.write(HEAD)
 
 
-@scenario
+@async_test
 async def test_a_host_is_out_until_it_is_called_back_whatever_is_listed(tmp_path: Path) -> None:
-    async with peers(says(body=b"one"), says(body=b"two"), _watch) as (one, two, service):
-        config = told(service.port, one.entry(), two.entry())
-        async with operated(tmp_path, config) as (process, port, control):
-            assert (await ask(control, "OFFLINE s-9")).startswith("-ERR")
-            assert (await ask(control, "OFFLINE s-0")).startswith("+OK")
-            assert (await ask(control, "OFFLINE s-0")).startswith("+OK")
-            await until(lambda: service.requests)
+    async with scripted_servers(answers_with(body=b"one"), answers_with(body=b"two"), _watch) as (
+        one,
+        two,
+        service,
+    ):
+        config = platform_config(service.port, one.discovery_entry(), two.discovery_entry())
+        async with running_with_control(tmp_path, config) as (process, port, control):
+            assert (await control_call(control, "OFFLINE s-9")).startswith("-ERR")
+            assert (await control_call(control, "OFFLINE s-0")).startswith("+OK")
+            assert (await control_call(control, "OFFLINE s-0")).startswith("+OK")
+            await wait_until(lambda: service.requests)
             for revision, phase in enumerate(("Ready", "Gone", "Ready"), 42):
                 service.writers[-1].write(
-                    chunk(line(revision, one.entry(phase), two.entry(), complete=False))
+                    chunk(line(revision, one.discovery_entry(phase), two.discovery_entry(), complete=False))
                 )
             process.send_signal(signal.SIGHUP)
             client = await Client.connect(port)
-            assert {(await client.ask()).body for _ in range(50)} == {b"two"}
+            assert {(await client.fetch()).body for _ in range(50)} == {b"two"}
             assert not one.requests
-            assert (await ask(control, "ONLINE s-0")).startswith("+OK")
-            async with asyncio.timeout(GENEROUS):
-                while (await client.ask()).body != b"one":
+            assert (await control_call(control, "ONLINE s-0")).startswith("+OK")
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+                while (await client.fetch()).body != b"one":
                     await asyncio.sleep(0.01)
 
 
-@scenario
+@async_test
 async def test_a_drain_ends_idle_connections_and_answers_what_is_held(tmp_path: Path) -> None:
     async with (
-        peers(silent, _watch) as (host, service),
-        operated(tmp_path, told(service.port, host.entry())) as (process, port, control),
+        scripted_servers(never_answers, _watch) as (host, service),
+        running_with_control(tmp_path, platform_config(service.port, host.discovery_entry())) as (
+            process,
+            port,
+            control,
+        ),
     ):
         idler, holder, late = [await Client.connect(port) for _ in range(3)]
         holder.writer.write(request_text("chapter-buy", {"X-Deadline": ""}))
-        await until(lambda: host.requests)
-        assert await ask(control, "LEAVE") == "+OK leaving"
-        assert await is_up(port) == 503
-        assert (await ask(control, "HEALTH")).startswith("+OK leaving")
+        await wait_until(lambda: host.requests)
+        assert await control_call(control, "LEAVE") == "+OK leaving"
+        assert await up_status(port) == 503
+        assert (await control_call(control, "HEALTH")).startswith("+OK leaving")
         late.writer.write(b"GET /up HTTP/1.1\r\n\r\n")
-        answer = await late.answer()
+        answer = await late.read_answer()
         assert (answer.status, answer.keep_alive) == (503, False)
-        assert await idler.rest() == b""
-        await says(body=b"bought")(host.requests[0], host.askers[0])
-        answer = await holder.answer()
+        assert await idler.read_to_end() == b""
+        await answers_with(body=b"bought")(host.requests[0], host.request_writers[0])
+        answer = await holder.read_answer()
         assert (answer.body, answer.keep_alive) == (b"bought", False)
-        assert await ask(control, "JOIN") == "+OK serving"
-        assert await is_up(port) == 200
+        assert await control_call(control, "JOIN") == "+OK serving"
+        assert await up_status(port) == 200
         assert process.returncode is None
-        await ask(control, "LEAVE")
+        await control_call(control, "LEAVE")
         process.send_signal(signal.SIGTERM)
-        await logged(process, "stopping")
+        await wait_for_log(process, "stopping")
         with contextlib.suppress(OSError):
-            assert (await ask(control, "JOIN")).startswith("-ERR")
-        async with asyncio.timeout(GENEROUS):
+            assert (await control_call(control, "JOIN")).startswith("-ERR")
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             assert await process.wait() == 0
 
 
-@scenario
+@async_test
 async def test_calls_are_answered_beside_callers_that_say_nothing_and_noise(tmp_path: Path) -> None:
     async with (
-        peers(_watch) as (service,),
-        operated(tmp_path, told(service.port)) as (_, port, control),
+        scripted_servers(_watch) as (service,),
+        running_with_control(tmp_path, platform_config(service.port)) as (_, port, control),
     ):
-        silent_ones = [await asyncio.open_connection("127.0.0.1", control) for _ in range(100)]
+        silent_callers = [await asyncio.open_connection("127.0.0.1", control) for _ in range(100)]
         crowd = [await Client.connect(port) for _ in range(100)]
         begun = time.monotonic()
-        assert (await ask(control, "HEALTH")).startswith("-ERR")  # it has no list of hosts
-        assert (await ask(control, "LEAVE")).startswith("+OK")
-        assert (await ask(control, "\x00\x01 noise")).startswith("-ERR")
-        assert (await ask(control, "HEALTH" * 200)).startswith("-ERR")
-        assert time.monotonic() - begun < GENEROUS / 2
-        for _, writer in silent_ones:
+        assert (await control_call(control, "HEALTH")).startswith("-ERR")  # it has no list of hosts
+        assert (await control_call(control, "LEAVE")).startswith("+OK")
+        assert (await control_call(control, "\x00\x01 noise")).startswith("-ERR")
+        assert (await control_call(control, "HEALTH" * 200)).startswith("-ERR")
+        assert time.monotonic() - begun < TEST_TIMEOUT_SECONDS / 2
+        for _, writer in silent_callers:
             writer.close()
         for client in crowd:
             client.close()
 
 
-@scenario
+@async_test
 async def test_the_command_line_calls_and_says_by_its_exit_code(tmp_path: Path) -> None:
     async with (
-        peers(says(), _watch) as (host, service),
-        operated(tmp_path, told(service.port, host.entry())) as (_, _, control),
+        scripted_servers(answers_with(), _watch) as (host, service),
+        running_with_control(tmp_path, platform_config(service.port, host.discovery_entry())) as (
+            _,
+            _,
+            control,
+        ),
     ):
-        for words, code, said in (
+        for arguments, code, expected in (
             (("offline", "s-0"), 0, b"s-0 out"),
             (("--json", "HEALTH"), 0, b'"done": true'),
             (("OFFLINE", "s-9"), 1, b"nobody has the id s-9"),
@@ -130,51 +152,59 @@
         ):
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
-                *("-m", "whinrouter.operator.cli", "ctl", f"127.0.0.1:{control}", *words),
+                *("-m", "whinrouter.operator.cli", "ctl", f"127.0.0.1:{control}", *arguments),
                 stdout=asyncio.subprocess.PIPE,
                 stderr=asyncio.subprocess.STDOUT,
             )
-            async with asyncio.timeout(GENEROUS):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 output, _ = await process.communicate()
             assert process.returncode == code
-            assert said in output
+            assert expected in output
 
 
-def _classes(*names: str, effect: str = "idempotent") -> dict[str, Any]:
-    entry = SETUP["classes"][0]
-    return SETUP | {"classes": [entry | {"name": name, "effect": effect} for name in names]}
+def _settings_with(*names: str, effect: str = "idempotent") -> dict[str, Any]:
+    entry = SETTINGS["classes"][0]
+    return SETTINGS | {"classes": [entry | {"name": name, "effect": effect} for name in names]}
 
 
-@scenario
+@async_test
 async def test_settings_are_taken_as_a_whole_while_requests_are_under_way(tmp_path: Path) -> None:
     async def slow(request: Message, writer: asyncio.StreamWriter) -> None:
         if b"page-read" not in request.target:
-            await says(body=b"now")(request, writer)
+            await answers_with(body=b"now")(request, writer)
 
     async with (
-        peers(slow, _watch) as (host, service),
-        operated(tmp_path, told(service.port, host.entry())) as (process, port, _),
+        scripted_servers(slow, _watch) as (host, service),
+        running_with_control(tmp_path, platform_config(service.port, host.discovery_entry())) as (
+            process,
+            port,
+            _,
+        ),
     ):
-        await _retune(process, tmp_path, service, host)
+        await _reload_classes(process, tmp_path, service, host)
         client, holder = await Client.connect(port), await Client.connect(port)
         holder.writer.write(request_text("page-read", {"X-Deadline": ""}))
-        await until(lambda: host.requests)
-        assert (await client.ask("coupon")).status == 400
-        await _retune(process, tmp_path, service, host, "coupon", "gift")
+        await wait_until(lambda: host.requests)
+        assert (await client.fetch("coupon")).status == 400
+        await _reload_classes(process, tmp_path, service, host, "coupon", "gift")
         client = await Client.connect(port)
         client.writer.write(request_text("coupon").replace(b"POST", b"GET", 1))
-        assert (await client.answer()).body == b"now"
-        await says(body=b"read")(host.requests[0], host.askers[0])
-        assert (await holder.answer()).body == b"read"
-        write(tmp_path, b"")
+        assert (await client.read_answer()).body == b"now"
+        await answers_with(body=b"read")(host.requests[0], host.request_writers[0])
+        assert (await holder.read_answer()).body == b"read"
+        write_config(tmp_path, b"")
         process.send_signal(signal.SIGHUP)
-        await logged(process, "going on with what is in force")
+        await wait_for_log(process, "going on with what is in force")
         client.writer.write(request_text("gift").replace(b"POST", b"GET", 1))
-        assert (await client.answer()).body == b"now"
+        assert (await client.read_answer()).body == b"now"
 
 
-async def _retune(process: Any, folder: Path, service: Peer, host: Peer, *names: str) -> None:
+async def _reload_classes(
+    process: Any, folder: Path, service: ScriptedServer, host: ScriptedServer, *names: str
+) -> None:
     if names:
-        write(folder, told(service.port, host.entry(), settings=_classes(*names)))
+        write_config(
+            folder, platform_config(service.port, host.discovery_entry(), settings=_settings_with(*names))
+        )
         process.send_signal(signal.SIGHUP)
-        await logged(process, "settings: ")
+        await wait_for_log(process, "settings: ")
--- a/tests/control/test_session.py
+++ b/tests/control/test_session.py
@@ -8,12 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whinrouter.control.calls import Calls, RefusedError
-from whinrouter.control.session import MOST, BadCallError, Call, Session
+from whinrouter.control.calls import CallRefusedError, CallRegistry
+from whinrouter.control.session import MAX_LINE_BYTES, BadCallError, Call, Session
 
 LINES = st.one_of(
     st.sampled_from([b"HEALTH\n", b"OFFLINE s-1\r\n", b"\n", b"LEAVE \xff\n", b" JOIN  \n", b"A" * 600]),
-    st.binary(max_size=MOST + 20),
+    st.binary(max_size=MAX_LINE_BYTES + 20),
 )
 
 
@@ -31,8 +31,8 @@
 
 @given(LINES, st.lists(st.integers(0, 640)))
 def test_pieces_say_what_the_whole_says(line: bytes, cuts: list[int]) -> None:
-    places = sorted({0, *(cut for cut in cuts if cut < len(line)), len(line)})
-    pieces = [line[a:b] for a, b in pairwise(places)]
+    offsets = sorted({0, *(cut for cut in cuts if cut < len(line)), len(line)})
+    pieces = [line[a:b] for a, b in pairwise(offsets)]
     assert _outcome(pieces) == _outcome([line])
 
 
@@ -50,10 +50,10 @@
 def test_answers(line: str, answer: bytes) -> None:
     def offline(host: str) -> str:
         if host == "busy":
-            raise RefusedError("not now")
+            raise CallRefusedError("not now")
         return host
 
-    calls = Calls()
+    calls = CallRegistry()
     calls.add("HEALTH", (), lambda: "well")
     calls.add("OFFLINE", ("ID",), offline)
     call = Session().feed(line.encode() + b"\n")
--- a/tests/faults/test_accept.py
+++ b/tests/faults/test_accept.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.peers import Client, peers, running, says, scenario, until
+from tests.peers import Client, answers_with, async_test, running_gateway, scripted_servers, wait_until
 from whinrouter.net.connect import Listener
 
 RESOURCES: tuple[int, ...] = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -39,28 +39,28 @@
 
 
 @pytest.mark.parametrize("errors", [RESOURCES, OF_ONE_CONNECTION])
-@scenario
+@async_test
 async def test_clients_are_taken_at_once_though_accept_fails_before_each(
     failing: FailingAccept, errors: tuple[int, ...]
 ) -> None:
     """With a second of waiting for each failure this would take longer than a test has."""
-    async with peers(says()) as (host,), running(host.member()) as proxy:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         failing.port, failing.errors = proxy.port, errors
         for _ in range(MANY):
             failing.left = 1
-            assert (await proxy.ask()).status == 200
+            assert (await proxy.fetch()).status == 200
         assert failing.failed == MANY
 
 
-@scenario
+@async_test
 async def test_a_client_is_taken_once_accept_works_again(failing: FailingAccept) -> None:
-    async with peers(says()) as (host,), running(host.member()) as proxy:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         failing.port, failing.left = proxy.port, MANY
-        assert (await proxy.ask()).status == 200
+        assert (await proxy.fetch()).status == 200
         assert failing.failed == MANY
 
 
-@scenario
+@async_test
 async def test_a_listener_that_closes_while_accept_fails_takes_nobody_later(failing: FailingAccept) -> None:
     taken: list[asyncio.Protocol] = []
 
@@ -74,8 +74,8 @@
         port = await listener.serve()
         failing.port, failing.left = port, 1
         client = await Client.connect(port)
-        await until(lambda: failing.failed)
-        await listener.accept_rest()
+        await wait_until(lambda: failing.failed)
+        await listener.accept_pending()
         listener.close()
         await asyncio.sleep(1.2)  # longer than any wait before the next try
         assert taken == []
@@ -84,12 +84,12 @@
         client.close()
 
 
-@scenario
+@async_test
 async def test_what_waits_is_taken_before_the_end_though_accept_fails(failing: FailingAccept) -> None:
-    async with peers(says()) as (host,), running(host.member()) as proxy:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         failing.port, failing.left = proxy.port, 3
         client = await proxy.client()
-        await until(lambda: failing.failed)
-        await proxy.frontend.listener.accept_rest()
+        await wait_until(lambda: failing.failed)
+        await proxy.frontend.listener.accept_pending()
         proxy.frontend.close_listener()
-        assert (await client.ask()).status == 200
+        assert (await client.fetch()).status == 200
--- a/tests/faults/test_local_failures.py
+++ b/tests/faults/test_local_failures.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.peers import peers, running, says, scenario
+from tests.peers import answers_with, async_test, running_gateway, scripted_servers
 
 LOCAL = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENFILE, errno.EMFILE, errno.ENETUNREACH, errno.ENOMEM)
 
@@ -34,37 +34,41 @@
 
 
 @pytest.mark.parametrize("error", LOCAL)
-@scenario
-async def test_a_momentary_failure_of_this_machine_costs_no_request(
-    failing: FailingConnect, error: int
-) -> None:
-    async with peers(says()) as (host,), running(host.member()) as proxy:
+@async_test
+async def test_momentary_local_failure_costs_no_request(failing: FailingConnect, error: int) -> None:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         failing.errors = [error]
-        assert (await client.ask()).status == 200
+        assert (await client.fetch()).status == 200
         assert not failing.errors
 
 
-@scenario
-async def test_hosts_are_not_blamed_for_what_fails_here(failing: FailingConnect) -> None:
-    async with peers(says(), says()) as hosts, running(*(host.member() for host in hosts)) as proxy:
+@async_test
+async def test_local_failures_do_not_count_against_hosts(failing: FailingConnect) -> None:
+    async with (
+        scripted_servers(answers_with(), answers_with()) as hosts,
+        running_gateway(*(host.member() for host in hosts)) as proxy,
+    ):
         limits = {server: host.limit for server, host in proxy.balancer._hosts.items()}
         client = await proxy.client()
         for _ in range(5):
             failing.errors = list(LOCAL) * 10
-            assert (await client.ask()).status in (200, 503)
+            assert (await client.fetch()).status in (200, 503)
         failing.errors = []
-        assert all(host.breaker.closed for host in proxy.balancer._hosts.values())
-        assert not any(host.breaker.state(0).failures for host in proxy.balancer._hosts.values())
+        assert all(host.breaker.is_closed for host in proxy.balancer._hosts.values())
+        assert not any(host.breaker.export_state(0).failures for host in proxy.balancer._hosts.values())
         assert {server: host.limit for server, host in proxy.balancer._hosts.items()} == limits
-        assert (await client.ask()).status == 200
+        assert (await client.fetch()).status == 200
 
 
-@scenario
-async def test_a_host_that_refuses_is_still_blamed(failing: FailingConnect) -> None:
-    async with peers(says(), says()) as hosts, running(*(host.member() for host in hosts)) as proxy:
+@async_test
+async def test_refused_connections_count_against_the_host(failing: FailingConnect) -> None:
+    async with (
+        scripted_servers(answers_with(), answers_with()) as hosts,
+        running_gateway(*(host.member() for host in hosts)) as proxy,
+    ):
         client = await proxy.client()
         for _ in range(6):
             failing.errors = [errno.ECONNREFUSED] * 2
-            await client.ask()
-        assert any(not host.breaker.closed for host in proxy.balancer._hosts.values())
+            await client.fetch()
+        assert any(not host.breaker.is_closed for host in proxy.balancer._hosts.values())
--- a/tests/faults/test_start.py
+++ b/tests/faults/test_start.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from tests.peers import Client, peers, running, says, scenario
+from tests.peers import Client, answers_with, async_test, running_gateway, scripted_servers
 from whinrouter import program
 from whinrouter.handover import channel
 from whinrouter.net.config import ConfigError
-from whinrouter.operations.controller import Desk
+from whinrouter.operations.controller import OperationsController
 
 MOMENTARY = (errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE)
 
@@ -31,28 +31,30 @@
     monkeypatch.setattr(socket, "create_server", create_server)
 
 
-def _plan() -> Any:
-    return SimpleNamespace(name="n", listen=("127.0.0.1", 0), listener=None, control=("127.0.0.1", 0))
+def _options() -> Any:
+    return SimpleNamespace(
+        name="n", listen_address=("127.0.0.1", 0), listener_descriptor=None, control_address=("127.0.0.1", 0)
+    )
 
 
-@scenario
+@async_test
 async def test_listening_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with peers(says()) as (host,), running(host.member()) as proxy:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         proxy.frontend.close_listener()
         errors = list(MOMENTARY)
         _failing(monkeypatch, errors)
-        client = await Client.connect(await program._listen(_plan(), proxy.frontend))
-        assert (await client.ask()).status == 200
+        client = await Client.connect(await program._listen(_options(), proxy.frontend))
+        assert (await client.fetch()).status == 200
         assert not errors
         errors.extend(MOMENTARY)
-        desk = cast(Desk, SimpleNamespace(register=lambda calls, ready: None))
-        control = await program._control(_plan(), desk, lambda: True)
+        controller = cast(OperationsController, SimpleNamespace(register_calls=lambda calls, ready: None))
+        control = await program._start_control(_options(), controller, lambda: True)
         assert control is not None
         assert not errors
         control.close()
 
 
-@scenario
+@async_test
 async def test_a_process_with_no_socket_to_ask_by_starts_from_nothing(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
@@ -60,23 +62,23 @@
         raise OSError(errno.ENFILE, "it fails")
 
     monkeypatch.setattr(channel, "socket", SimpleNamespace(socket=no_socket, AF_UNIX=socket.AF_UNIX))
-    assert await channel.call(tmp_path / "line", cast(channel.Owner, None)) is None
+    assert await channel.connect(tmp_path / "line", cast(channel.PeerHandler, None)) is None
 
 
 @pytest.mark.parametrize("error", [errno.EADDRINUSE, errno.EACCES, errno.EADDRNOTAVAIL])
-@scenario
+@async_test
 async def test_what_lasts_ends_the_start(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
-    async with peers(says()) as (host,), running(host.member()) as proxy:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         proxy.frontend.close_listener()
         _failing(monkeypatch, [error])
         with pytest.raises(ConfigError):
-            await program._listen(_plan(), proxy.frontend)
+            await program._listen(_options(), proxy.frontend)
 
 
-@scenario
+@async_test
 async def test_a_want_that_does_not_end_ends_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with peers(says()) as (host,), running(host.member()) as proxy:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         proxy.frontend.close_listener()
         _failing(monkeypatch, [errno.ENOMEM] * 1000)
         with pytest.raises(ConfigError):
-            await program._listen(_plan(), proxy.frontend)
+            await program._listen(_options(), proxy.frontend)
--- a/tests/handover/test_connections.py
+++ b/tests/handover/test_connections.py
@@ -19,16 +19,31 @@
 
 import pytest
 
-from tests.handover.test_upgrade import Gateway, gateway, listening, ready
-from tests.peers import Client, Peer, Script, peers, request_text, reset, says, scenario, until
+from tests.handover.test_upgrade import (
+    GatewayProcess,
+    listening_socket,
+    running_gateway_process,
+    wait_until_ready,
+)
+from tests.peers import (
+    Client,
+    Script,
+    ScriptedServer,
+    answers_with,
+    async_test,
+    request_text,
+    reset_connection,
+    scripted_servers,
+    wait_until,
+)
 from tests.test_discovery import HEAD
-from tests.test_program import SETUP, told
-from whinrouter.net.http import LAST_CHUNK, Message, chunk
+from tests.test_program import SETTINGS, platform_config
+from whinrouter.net.http import LAST_CHUNK, Message, encode_chunk
 
 BODY = bytes(range(256)) * 1000
-PART = 20_000  # bytes of a body that are written at a time
-LIVES = 2.7  # seconds from SIGTERM to SIGKILL
-DEADLINE = 2.0
+PART_BYTES = 20_000  # bytes of a body that are written at a time
+KILL_DELAY_SECONDS = 2.7  # seconds from SIGTERM to SIGKILL
+DEADLINE_SECONDS = 2.0
 ORDER = {
     "name": "order",
     "effect": "deduplicated",
@@ -39,15 +54,15 @@
 
 
 @dataclass
-class _Fleet:
+class _Gateway:
     """The processes of one gateway, one after the other."""
 
     folder: Path
-    host: Peer
+    host: ScriptedServer
     config: dict[str, Any]
     listener: Any
-    stack: AsyncExitStack
-    processes: list[Gateway] = field(default_factory=list)
+    exit_stack: AsyncExitStack
+    processes: list[GatewayProcess] = field(default_factory=list)
     endings: list[asyncio.Task[None]] = field(default_factory=list)
 
     @property
@@ -55,25 +70,27 @@
         return int(self.listener.getsockname()[1])
 
     async def start(self) -> None:
-        process = await self.stack.enter_async_context(gateway(self.folder, self.listener, self.config))
-        await ready(process)
+        process = await self.exit_stack.enter_async_context(
+            running_gateway_process(self.folder, self.listener, self.config)
+        )
+        await wait_until_ready(process)
         self.processes.append(process)
 
     async def upgrade(self) -> None:
         """Another process; the one before it is ended as the platform does it."""
         await self.start()
-        ending = asyncio.get_running_loop().create_task(_end(self.processes[-2].process))
+        ending = asyncio.get_running_loop().create_task(_terminate_or_kill(self.processes[-2].process))
         self.endings.append(ending)
 
-    async def over(self) -> None:
+    async def wait_for_older(self) -> None:
         """All older processes have ended."""
         await asyncio.gather(*self.endings)
 
 
-async def _end(process: asyncio.subprocess.Process) -> None:
+async def _terminate_or_kill(process: asyncio.subprocess.Process) -> None:
     process.terminate()
     try:
-        async with asyncio.timeout(LIVES):
+        async with asyncio.timeout(KILL_DELAY_SECONDS):
             await process.wait()
     except TimeoutError:
         process.kill()
@@ -85,164 +102,170 @@
 
 
 @asynccontextmanager
-async def _fleet(folder: Path, script: Script) -> AsyncIterator[_Fleet]:
-    classes = [entry | {"giveUp": round(DEADLINE * 1_000_000)} for entry in SETUP["classes"]]
-    async with AsyncExitStack() as stack:
-        host, service = await stack.enter_async_context(peers(script, _watch))
-        config = told(service.port, host.entry(), settings=SETUP | {"classes": [*classes, ORDER]})
-        fleet = _Fleet(folder, host, config, stack.enter_context(listening()), stack)
-        await fleet.start()
-        yield fleet
+async def _running_gateway(folder: Path, script: Script) -> AsyncIterator[_Gateway]:
+    classes = [entry | {"giveUp": round(DEADLINE_SECONDS * 1_000_000)} for entry in SETTINGS["classes"]]
+    async with AsyncExitStack() as exit_stack:
+        host, service = await exit_stack.enter_async_context(scripted_servers(script, _watch))
+        config = platform_config(
+            service.port, host.discovery_entry(), settings=SETTINGS | {"classes": [*classes, ORDER]}
+        )
+        gateway = _Gateway(folder, host, config, exit_stack.enter_context(listening_socket()), exit_stack)
+        await gateway.start()
+        yield gateway
 
 
 def _order(chunked: bool = False, body: bytes = BODY) -> list[bytes]:
     """An order in the parts in which its client writes it."""
-    parts = [body[place : place + PART] for place in range(0, len(body), PART)]
+    parts = [body[offset : offset + PART_BYTES] for offset in range(0, len(body), PART_BYTES)]
     framing = b"Content-Length: %d" % len(body)
     if chunked:
         framing = b"Transfer-Encoding: chunked"
-        parts = [*map(chunk, parts), LAST_CHUNK]
-    headers = {"Idempotency-Key": "5c0f6e1a2b3d", "X-Deadline": str(DEADLINE)}
+        parts = [*map(encode_chunk, parts), LAST_CHUNK]
+    headers = {"Idempotency-Key": "5c0f6e1a2b3d", "X-Deadline": str(DEADLINE_SECONDS)}
     return [request_text("order", headers).replace(b"Content-Length: 0", framing), *parts]
 
 
-async def _write(client: Client, parts: Sequence[bytes], rate: float = 100_000.0) -> None:
+async def _write(client: Client, parts: Sequence[bytes], bytes_per_second: float = 100_000.0) -> None:
     for part in parts:
         client.writer.write(part)
-        await asyncio.sleep(len(part) / rate)
+        await asyncio.sleep(len(part) / bytes_per_second)
 
 
 @pytest.mark.parametrize("chunked", [False, True], ids=["by length", "in chunks"])
-@pytest.mark.parametrize("cut", [0, 7], ids=["between parts", "within a part"])
-@scenario
+@pytest.mark.parametrize("extra_bytes", [0, 7], ids=["between parts", "within a part"])
+@async_test
 async def test_an_order_whose_upload_outlives_its_process_runs_once_and_is_answered(
-    tmp_path: Path, chunked: bool, cut: int
+    tmp_path: Path, chunked: bool, extra_bytes: int
 ) -> None:
-    async with _fleet(tmp_path, says(body=b"ordered")) as fleet:
-        client = await Client.connect(fleet.port)
-        assert (await client.ask()).status == 200
+    async with _running_gateway(tmp_path, answers_with(body=b"ordered")) as gateway:
+        client = await Client.connect(gateway.port)
+        assert (await client.fetch()).status == 200
         body = BODY * 2  # at the rate below for some 4 s, and more than its process lives
         parts = _order(chunked, body)
-        text, begun = b"".join(parts), sum(map(len, parts[:7])) + cut
+        text, begun = b"".join(parts), sum(map(len, parts[:7])) + extra_bytes
         client.writer.write(text[:begun])
-        await until(lambda: fleet.host.taken > begun - PART)
-        await fleet.upgrade()
+        await wait_until(lambda: gateway.host.received_bytes > begun - PART_BYTES)
+        await gateway.upgrade()
         rest = text[begun:]
-        await _write(client, [rest[place : place + PART] for place in range(0, len(rest), PART)], 90_000.0)
-        answer = await client.answer()
-        await fleet.over()
+        await _write(
+            client,
+            [rest[offset : offset + PART_BYTES] for offset in range(0, len(rest), PART_BYTES)],
+            90_000.0,
+        )
+        answer = await client.read_answer()
+        await gateway.wait_for_older()
         assert (answer.status, answer.body) == (200, b"ordered")
-        orders = [request for request in fleet.host.requests if request.method == b"POST"]
+        orders = [request for request in gateway.host.requests if request.method == b"POST"]
         assert [request.body for request in orders] == [body]
 
 
-@scenario
+@async_test
 async def test_an_upload_is_passed_on_from_process_to_process(tmp_path: Path) -> None:
-    async with _fleet(tmp_path, says(body=b"ordered")) as fleet:
+    async with _running_gateway(tmp_path, answers_with(body=b"ordered")) as gateway:
         body = BODY * 2  # at each upgrade more than a body that is held whole is still to come
-        client, parts = await Client.connect(fleet.port), _order(body=body)
+        client, parts = await Client.connect(gateway.port), _order(body=body)
         await _write(client, parts[:5])
-        await fleet.upgrade()
+        await gateway.upgrade()
         await _write(client, parts[5:12])
-        await fleet.over()
-        for place in (12, 16, 20):
-            await fleet.upgrade()
-            await _write(client, parts[place : place + 4])
-            await fleet.over()
+        await gateway.wait_for_older()
+        for offset in (12, 16, 20):
+            await gateway.upgrade()
+            await _write(client, parts[offset : offset + 4])
+            await gateway.wait_for_older()
         await _write(client, parts[24:])
-        assert (await client.answer()).status == 200
-        await fleet.over()
-        assert [request.body for request in fleet.host.requests] == [body]
+        assert (await client.read_answer()).status == 200
+        await gateway.wait_for_older()
+        assert [request.body for request in gateway.host.requests] == [body]
 
 
-@scenario
+@async_test
 async def test_a_kept_connection_goes_on_at_the_next_process(tmp_path: Path) -> None:
-    async with _fleet(tmp_path, says()) as fleet:
-        client = await Client.connect(fleet.port)
-        assert (await client.ask()).keep_alive
-        await fleet.upgrade()
-        await fleet.over()
-        assert (await client.ask()).keep_alive, "on the same connection"
+    async with _running_gateway(tmp_path, answers_with()) as gateway:
+        client = await Client.connect(gateway.port)
+        assert (await client.fetch()).keep_alive
+        await gateway.upgrade()
+        await gateway.wait_for_older()
+        assert (await client.fetch()).keep_alive, "on the same connection"
 
 
 @pytest.mark.parametrize("begun", [1, 40, -30_000, -1])
-@scenario
+@async_test
 async def test_a_request_that_is_being_received_goes_on_at_the_next_process(
     tmp_path: Path, begun: int
 ) -> None:
     """Within its head, and within a body that is held whole; nothing of it was sent on."""
-    async with _fleet(tmp_path, says()) as fleet:
-        client, text = await Client.connect(fleet.port), b"".join(_order(body=BODY[:50_000]))
+    async with _running_gateway(tmp_path, answers_with()) as gateway:
+        client, text = await Client.connect(gateway.port), b"".join(_order(body=BODY[:50_000]))
         client.writer.write(text[:begun])
         await asyncio.sleep(0.1)
-        await fleet.upgrade()
-        await fleet.over()
+        await gateway.upgrade()
+        await gateway.wait_for_older()
         client.writer.write(text[begun:])
-        assert (await client.answer()).status == 200
-        await fleet.over()
-        assert [request.body for request in fleet.host.requests] == [BODY[:50_000]]
+        assert (await client.read_answer()).status == 200
+        await gateway.wait_for_older()
+        assert [request.body for request in gateway.host.requests] == [BODY[:50_000]]
 
 
-@scenario
+@async_test
 async def test_chunks_that_are_being_received_go_on_at_the_next_process(tmp_path: Path) -> None:
-    async with _fleet(tmp_path, says()) as fleet:
-        client, parts = await Client.connect(fleet.port), _order(chunked=True, body=BODY[:50_000])
+    async with _running_gateway(tmp_path, answers_with()) as gateway:
+        client, parts = await Client.connect(gateway.port), _order(chunked=True, body=BODY[:50_000])
         await _write(client, parts[:2])
-        await fleet.upgrade()
-        await fleet.over()
+        await gateway.upgrade()
+        await gateway.wait_for_older()
         await _write(client, parts[2:])
-        assert (await client.answer()).status == 200
-        await fleet.over()
-        assert [request.body for request in fleet.host.requests] == [BODY[:50_000]]
+        assert (await client.read_answer()).status == 200
+        await gateway.wait_for_older()
+        assert [request.body for request in gateway.host.requests] == [BODY[:50_000]]
 
 
-@scenario
+@async_test
 async def test_a_host_that_says_nothing_to_an_upload_that_was_passed_on_is_a_failure(tmp_path: Path) -> None:
     """It may have run: its client is not told that trying again is harmless."""
 
     async def silent(request: Message, writer: asyncio.StreamWriter) -> None:
         pass
 
-    async with _fleet(tmp_path, silent) as fleet:
-        client, parts = await Client.connect(fleet.port), _order()
+    async with _running_gateway(tmp_path, silent) as gateway:
+        client, parts = await Client.connect(gateway.port), _order()
         await _write(client, parts[:5])
-        await fleet.upgrade()
-        await fleet.over()
+        await gateway.upgrade()
+        await gateway.wait_for_older()
         await _write(client, parts[5:])
-        assert (await client.answer()).status in (502, 504)
-        assert len(fleet.host.requests) == 1
+        assert (await client.read_answer()).status in (502, 504)
+        assert len(gateway.host.requests) == 1
 
 
-@scenario
+@async_test
 async def test_a_host_that_breaks_off_after_an_upload_that_was_passed_on_is_a_failure(tmp_path: Path) -> None:
     async def breaks(request: Message, writer: asyncio.StreamWriter) -> None:
-        reset(writer)
+        reset_connection(writer)
 
-    async with _fleet(tmp_path, breaks) as fleet:
-        client, parts = await Client.connect(fleet.port), _order()
+    async with _running_gateway(tmp_path, breaks) as gateway:
+        client, parts = await Client.connect(gateway.port), _order()
         await _write(client, parts[:5])
-        await fleet.upgrade()
-        await fleet.over()
+        await gateway.upgrade()
+        await gateway.wait_for_older()
         await _write(client, parts[5:])
-        assert (await client.answer()).status in (502, 504)
-        assert len(fleet.host.requests) == 1, "it is not sent again"
+        assert (await client.read_answer()).status in (502, 504)
+        assert len(gateway.host.requests) == 1, "it is not sent again"
 
 
-@scenario
+@async_test
 async def test_a_client_that_leaves_after_its_upload_was_passed_on_ends_it(tmp_path: Path) -> None:
-    async with _fleet(tmp_path, says()) as fleet:
-        client, parts = await Client.connect(fleet.port), _order()
+    async with _running_gateway(tmp_path, answers_with()) as gateway:
+        client, parts = await Client.connect(gateway.port), _order()
         await _write(client, parts[:5])
-        await fleet.upgrade()
-        await fleet.over()
+        await gateway.upgrade()
+        await gateway.wait_for_older()
         await _write(client, parts[5:7])
         client.close()
-        await until(lambda: fleet.host.closed)
-        assert not fleet.host.requests
+        await wait_until(lambda: gateway.host.closed_connections)
+        assert not gateway.host.requests
 
 
 @pytest.mark.parametrize("at_a_boundary", [False, True])
-@scenario
+@async_test
 async def test_an_answer_is_passed_on_from_process_to_process_though_its_reader_is_slow(
     tmp_path: Path, at_a_boundary: bool
 ) -> None:
@@ -252,8 +275,8 @@
     async def slowly(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
         step = len(whole) // 8
-        for place in range(0, len(whole), step):
-            text = chunk(whole[place : place + step])
+        for offset in range(0, len(whole), step):
+            text = encode_chunk(whole[offset : offset + step])
             if not at_a_boundary:
                 writer.write(text[:-3])
                 await asyncio.sleep(0.5)
@@ -263,17 +286,17 @@
             await asyncio.sleep(0.5 if next(count) else 0.0)
         writer.write(LAST_CHUNK)
 
-    async with _fleet(tmp_path, slowly) as fleet:
-        reader, writer = await asyncio.open_connection("127.0.0.1", fleet.port, limit=4096)
+    async with _running_gateway(tmp_path, slowly) as gateway:
+        reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port, limit=4096)
         writer.write(request_text())
         await begun.wait()
-        await fleet.upgrade()
+        await gateway.upgrade()
         await asyncio.sleep(1.0)
         head = await reader.readuntil(b"\r\n\r\n")
         assert b"chunked" in head
-        await fleet.over()
-        await fleet.upgrade()
-        await fleet.over()
+        await gateway.wait_for_older()
+        await gateway.upgrade()
+        await gateway.wait_for_older()
         body = bytearray()
         while size := int(await reader.readuntil(b"\r\n"), 16):
             body += (await reader.readexactly(size + 2))[:-2]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -53,11 +53,11 @@
 
 
 @dataclass
-class Sent:
+class SentAttempt:
     request: int
     number: int
     server: ServerId
-    at: int
+    sent_at: int
     expires: int = 0
     outcome: Outcome | None = None
 
@@ -67,23 +67,25 @@
     """Plays the host program of one balancer and asserts the rules at every action."""
 
     settings: Settings = field(default_factory=lambda: Settings(CLASSES))
-    count: int = 4
+    server_count: int = 4
     seed: int = 1
     classes: tuple[RequestClass, ...] = CLASSES
     now: int = 100 * SECOND
-    sent: list[Sent] = field(default_factory=list)
-    open: dict[int, tuple[Request, int]] = field(default_factory=dict)  # unanswered, with its deadline
+    sent_attempts: list[SentAttempt] = field(default_factory=list)
+    unanswered: dict[int, tuple[Request, int]] = field(default_factory=dict)  # unanswered, with its deadline
     answers: dict[int, list[str]] = field(default_factory=dict)
-    kinds: dict[int, str] = field(default_factory=dict)
-    listed: dict[ServerId, Server] = field(default_factory=dict)
-    told: dict[ServerId, int] = field(default_factory=dict)  # when a server was said to drain or be gone
+    class_names: dict[int, str] = field(default_factory=dict)
+    listed_servers: dict[ServerId, Server] = field(default_factory=dict)
+    unavailable_since: dict[ServerId, int] = field(
+        default_factory=dict
+    )  # when a server was said to drain or be gone
     timers: list[tuple[int, str]] = field(default_factory=list)
     subscribed: int = 0
 
     def __post_init__(self) -> None:
         self.balancer = Balancer(self.settings, self.seed)
-        if self.count:
-            self.list_servers(servers(self.count))
+        if self.server_count:
+            self.list_servers(servers(self.server_count))
 
     def feed(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(event, self.now)
@@ -92,20 +94,20 @@
         return actions
 
     def list_servers(self, entries: Iterable[Server], update: Update = Update.FULL) -> list[Action]:
-        named = {server.id: server for server in entries}
+        listed = {server.id: server for server in entries}
         if update in (Update.FULL, Update.STALE):
-            for server in self.listed:
-                if server not in named:
-                    self.told.setdefault(server, self.now)
-        for server, entry in named.items():
-            self.listed[server] = entry
+            for server in self.listed_servers:
+                if server not in listed:
+                    self.unavailable_since.setdefault(server, self.now)
+        for server, entry in listed.items():
+            self.listed_servers[server] = entry
             if entry.state is State.READY:
-                self.told.pop(server, None)
+                self.unavailable_since.pop(server, None)
             else:
-                self.told.setdefault(server, self.now)
-        return self.feed(ServerList(update, tuple(named.values())))
+                self.unavailable_since.setdefault(server, self.now)
+        return self.feed(ServerList(update, tuple(listed.values())))
 
-    def fire(self, due: int, token: str) -> list[Action]:
+    def fire_timer(self, due: int, token: str) -> list[Action]:
         self.now = max(self.now, due)
         return self.feed(TimerFired(token))
 
@@ -113,71 +115,73 @@
         """A request that is not yet fed."""
         return Request(len(self.answers) + 1, class_name, 400 * MS)
 
-    def ask(
+    def submit(
         self,
-        kind: RequestClass = READ,
+        request_class: RequestClass = READ,
         timeout: int = 400 * MS,
         cost: int = 0,
         key: str | None = None,
-        retry: bool = False,
+        is_retry: bool = False,
         tenant: str = "",
     ) -> int:
-        request = Request(len(self.answers) + 1, kind.name, timeout, cost, key, retry, tenant)
-        self.open[request.id] = (request, self.now + timeout)
+        request = Request(len(self.answers) + 1, request_class.name, timeout, cost, key, is_retry, tenant)
+        self.unanswered[request.id] = (request, self.now + timeout)
         self.answers[request.id] = []
-        self.kinds[request.id] = kind.name
+        self.class_names[request.id] = request_class.name
         self.feed(request)
         return request.id
 
-    def attempts(self, request: int) -> list[Sent]:
-        return [sent for sent in self.sent if sent.request == request]
+    def attempts(self, request: int) -> list[SentAttempt]:
+        return [sent for sent in self.sent_attempts if sent.request == request]
 
-    def out(self, request: int | None = None) -> list[Sent]:
-        return [sent for sent in self.sent if sent.outcome is None and request in (None, sent.request)]
+    def running(self, request: int | None = None) -> list[SentAttempt]:
+        return [
+            sent for sent in self.sent_attempts if sent.outcome is None and request in (None, sent.request)
+        ]
 
-    def end(
-        self, sent: Sent, outcome: Outcome = Outcome.OK, load: Mapping[str, float] | None = None
+    def end_attempt(
+        self, sent: SentAttempt, outcome: Outcome = Outcome.OK, load: Mapping[str, float] | None = None
     ) -> list[Action]:
         assert sent.outcome is None
         sent.outcome = outcome
-        if outcome is Outcome.OK and sent.request in self.open:
-            del self.open[sent.request]
+        if outcome is Outcome.OK and sent.request in self.unanswered:
+            del self.unanswered[sent.request]
             self.answers[sent.request].append("served")
-        over = sent.request not in self.open
+        is_answered = sent.request not in self.unanswered
         return self.feed(
             AttemptEnded(
                 sent.request,
                 sent.number,
                 sent.server,
                 outcome,
-                self.now - sent.at,
-                over,
+                self.now - sent.sent_at,
+                is_answered,
                 dict(load) if load else None,
             )
         )
 
-    def serve(self, kind: RequestClass = READ, taken: int = 30 * MS) -> Sent:
+    def serve(self, request_class: RequestClass = READ, latency: int = 30 * MS) -> SentAttempt:
         """Ask, and let the first attempt be served."""
-        sent = self.out(self.ask(kind))[0]
-        self.now += taken
-        self.end(sent)
+        sent = self.running(self.submit(request_class))[0]
+        self.now += latency
+        self.end_attempt(sent)
         return sent
 
-    def start_stream(self, sent: Sent) -> list[Action]:
-        return self.feed(StreamStarted(sent.request, sent.number, sent.server, self.now - sent.at))
+    def start_stream(self, sent: SentAttempt) -> list[Action]:
+        return self.feed(StreamStarted(sent.request, sent.number, sent.server, self.now - sent.sent_at))
 
-    def leave(self, request: int) -> list[Action]:
-        self.open.pop(request, None)
+    def disconnect_client(self, request: int) -> list[Action]:
+        self.unanswered.pop(request, None)
         self.answers[request].append("left")
         return self.feed(RequestGone(request))
 
     def expire(self) -> None:
         """Time out what is out past its own time or its client's, as the host program must."""
-        overdue = [request for request, (_, due) in self.open.items() if due <= self.now]
-        for sent in self.out():
+        overdue = [request for request, (_, due) in self.unanswered.items() if due <= self.now]
+        for sent in self.running():
             if sent.request in overdue or 0 < sent.expires <= self.now:
-                self.end(sent, Outcome.TIMEOUT)
-        assert not any(request in self.open for request in overdue), "no final answer by the deadline"
+                self.end_attempt(sent, Outcome.TIMEOUT)
+        assert not any(request in self.unanswered for request in overdue), "no final answer by the deadline"
 
     def _check(self, action: Action) -> None:
         if isinstance(action, Send):
@@ -192,36 +196,47 @@
             assert action.attempt < len(self.attempts(action.request))
         elif isinstance(action, Probe):
             assert self.settings.may_probe
-            assert action.server in self.listed
+            assert action.server in self.listed_servers
         elif isinstance(action, Subscribe):
             self.subscribed += 1
 
     def _check_send(self, action: Send) -> None:
-        assert action.request in self.open, "a send after the request was over"
-        request, deadline = self.open[action.request]
+        assert action.request in self.unanswered, "a send after the request was over"
+        request, deadline = self.unanswered[action.request]
         assert self.now < deadline
-        assert action.server in self.listed
-        assert action.server not in self.told, "a send to a server that drains or is gone"
+        assert action.server in self.listed_servers
+        assert action.server not in self.unavailable_since, "a send to a server that drains or is gone"
         earlier = self.attempts(action.request)
         assert len(earlier) < self.settings.max_attempts
         if not self.settings.may_hedge:
             assert all(sent.outcome is not None for sent in earlier), "two attempts at once"
-        unsure = [sent for sent in earlier if sent.outcome is None or not sent.outcome.never_ran]
-        kind = next(kind for kind in self.classes if kind.name == request.class_name)
-        if unsure and kind.effect is not Effect.IDEMPOTENT:
-            assert kind.effect is Effect.KEYED, "an unsafe request sent again"
-            assert self.now < unsure[0].at + kind.dedup_window
-            here, there = self.listed[action.server], self.listed[unsure[0].server]
-            assert kind.scope is not Scope.ZONE or here.zone == there.zone
-            assert kind.scope is not Scope.CELL or here.cell == there.cell
-        self.sent.append(Sent(action.request, len(earlier), action.server, self.now, action.expires))
+        possibly_run = [sent for sent in earlier if sent.outcome is None or not sent.outcome.never_ran]
+        request_class = next(
+            request_class for request_class in self.classes if request_class.name == request.class_name
+        )
+        if possibly_run and request_class.effect is not Effect.IDEMPOTENT:
+            assert request_class.effect is Effect.KEYED, "an unsafe request sent again"
+            assert self.now < possibly_run[0].sent_at + request_class.dedup_window
+            server, first_server = (
+                self.listed_servers[action.server],
+                self.listed_servers[possibly_run[0].server],
+            )
+            assert request_class.scope is not Scope.ZONE or server.zone == first_server.zone
+            assert request_class.scope is not Scope.CELL or server.cell == first_server.cell
+        self.sent_attempts.append(
+            SentAttempt(action.request, len(earlier), action.server, self.now, action.expires)
+        )
 
     def _check_answer(self, action: Refuse | Fail) -> None:
-        assert action.request in self.open, "a second answer"
-        request, _ = self.open.pop(action.request)
-        kind = next(kind for kind in self.classes if kind.name == request.class_name)
-        unsure = [s for s in self.attempts(request.id) if s.outcome is None or not s.outcome.never_ran]
-        if isinstance(action, Refuse) and unsure and kind.effect is not Effect.IDEMPOTENT:
-            assert kind.effect is Effect.KEYED, "a refusal of a request that may have run"
-            assert kind.scope is Scope.ALL
+        assert action.request in self.unanswered, "a second answer"
+        request, _ = self.unanswered.pop(action.request)
+        request_class = next(
+            request_class for request_class in self.classes if request_class.name == request.class_name
+        )
+        possibly_run = [
+            sent for sent in self.attempts(request.id) if sent.outcome is None or not sent.outcome.never_ran
+        ]
+        if isinstance(action, Refuse) and possibly_run and request_class.effect is not Effect.IDEMPOTENT:
+            assert request_class.effect is Effect.KEYED, "a refusal of a request that may have run"
+            assert request_class.scope is Scope.ALL
         self.answers[request.id].append("refused" if isinstance(action, Refuse) else "failed")
--- a/tests/invariants/test_lifecycle.py
+++ b/tests/invariants/test_lifecycle.py
@@ -10,8 +10,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from whinrouter.interface import MS, SECOND, Effect, Outcome, RequestClass, Scope, Server, Settings
-from whinrouter.invariants.events import CAPACITY, PROCESS, EventKind, EventRing
-from whinrouter.invariants.lifecycle import CloseReason, Guards, RequestLife, RequestState
+from whinrouter.invariants.events import CAPACITY, NO_REQUEST, EventKind, EventRing
+from whinrouter.invariants.lifecycle import CloseReason, Guards, RequestLifecycle, RequestState
 from whinrouter.invariants.violations import Invariant
 
 WINDOW = 2 * SECOND
@@ -21,35 +21,40 @@
     RequestClass("order", SECOND, 4 * SECOND, Effect.KEYED, Scope.ZONE, WINDOW),
     RequestClass("note", SECOND, 4 * SECOND, Effect.KEYED, Scope.ALL, WINDOW),
 )
-HERE, THERE = Server(1, zone="a", cell=1), Server(2, zone="b", cell=2)
-TIME = 4 * SECOND
-BEGAN = 1 << 50
+FIRST_HOST, OTHER_HOST = Server(1, zone="a", cell=1), Server(2, zone="b", cell=2)
+DEADLINE = 4 * SECOND
+START = 1 << 50
 
 
-def begun(name: str = "read") -> tuple[Guards, RequestLife]:
+def admitted(name: str = "read") -> tuple[Guards, RequestLifecycle]:
     guards = Guards(Settings(CLASSES))
-    return guards, guards.start(1, name, BEGAN + TIME, BEGAN, "id")
+    return guards, guards.admit(1, name, START + DEADLINE, START, "id")
 
 
 def send(
-    guards: Guards, life: RequestLife, server: Server = HERE, at: int = 0, ready: bool = True, told: int = 0
+    guards: Guards,
+    life: RequestLifecycle,
+    server: Server = FIRST_HOST,
+    at: int = 0,
+    is_ready: bool = True,
+    timeout: int = 0,
 ) -> bool:
-    return guards.may_send(life, life.sent, server, ready, told, BEGAN + at)
+    return guards.may_send(life, life.attempts_sent, server, is_ready, timeout, START + at)
 
 
 def violated(guards: Guards) -> list[Invariant]:
     return list(guards.violations.counts.elements())
 
 
-def test_a_request_that_goes_well_violates_nothing() -> None:
-    guards, life = begun("buy")
-    guards.wait(life, 0, BEGAN)
-    assert send(guards, life, told=TIME)
-    guards.attempt_ended(life, 0, True, Outcome.REJECTED, BEGAN)
-    assert send(guards, life, THERE)
-    guards.attempt_ended(life, 1, True, Outcome.OK, BEGAN)
-    assert guards.may_answer(life, 200, True, "served", BEGAN + 1) == 200
-    guards.close(1, False, CloseReason.IDLE, BEGAN + 2)
+def test_successful_request_violates_nothing() -> None:
+    guards, life = admitted("buy")
+    guards.attempt_waiting(life, 0, START)
+    assert send(guards, life, timeout=DEADLINE)
+    guards.attempt_ended(life, 0, True, Outcome.REJECTED, START)
+    assert send(guards, life, OTHER_HOST)
+    guards.attempt_ended(life, 1, True, Outcome.OK, START)
+    assert guards.may_answer(life, 200, True, "served", START + 1) == 200
+    guards.connection_closed(1, False, CloseReason.IDLE, START + 2)
     assert guards.violations.summary() == "none"
     kinds = [event.kind.value for event in guards.ring.events(1)]
     assert kinds == ["admitted", "waiting", "sent", "ended", "sent", "ended", "answered", "closed"]
@@ -60,60 +65,60 @@
 
 
 @pytest.mark.parametrize("name", ["buy", "nobody announced this"])
-def test_an_unsafe_request_is_not_sent_beside_one_that_may_run(name: str) -> None:
-    guards, life = begun(name)
+def test_unsafe_request_is_not_sent_again_while_it_may_run(name: str) -> None:
+    guards, life = admitted(name)
     assert send(guards, life)
-    assert not send(guards, life, THERE)
-    guards.attempt_ended(life, 0, True, Outcome.RESET, BEGAN)
-    assert not send(guards, life, THERE)
+    assert not send(guards, life, OTHER_HOST)
+    guards.attempt_ended(life, 0, True, Outcome.RESET, START)
+    assert not send(guards, life, OTHER_HOST)
     assert violated(guards) == [Invariant.REPEATED_ONLY_SAFELY] * 2
 
 
 @pytest.mark.parametrize(
-    ("name", "server", "at", "allowed"),
+    ("name", "server", "at", "is_allowed"),
     [
-        ("order", HERE, WINDOW - 1, True),
-        ("order", HERE, WINDOW, False),
-        ("order", THERE, 1, False),
-        ("note", THERE, WINDOW - 1, True),
-        ("note", THERE, WINDOW, False),
-        ("read", THERE, WINDOW, True),
+        ("order", FIRST_HOST, WINDOW - 1, True),
+        ("order", FIRST_HOST, WINDOW, False),
+        ("order", OTHER_HOST, 1, False),
+        ("note", OTHER_HOST, WINDOW - 1, True),
+        ("note", OTHER_HOST, WINDOW, False),
+        ("read", OTHER_HOST, WINDOW, True),
     ],
 )
-def test_a_keyed_request_is_sent_again_where_and_while_it_is_remembered(
-    name: str, server: Server, at: int, allowed: bool
+def test_keyed_request_is_repeated_only_where_and_while_it_is_remembered(
+    name: str, server: Server, at: int, is_allowed: bool
 ) -> None:
-    guards, life = begun(name)
+    guards, life = admitted(name)
     assert send(guards, life)
-    assert send(guards, life, server, at) is allowed
-    assert violated(guards) == ([] if allowed else [Invariant.REPEATED_ONLY_SAFELY])
+    assert send(guards, life, server, at) is is_allowed
+    assert violated(guards) == ([] if is_allowed else [Invariant.REPEATED_ONLY_SAFELY])
 
 
-def _serve(guards: Guards, life: RequestLife) -> object:
-    return guards.may_answer(life, 200, True, "", BEGAN)
+def _answer_again(guards: Guards, life: RequestLifecycle) -> object:
+    return guards.may_answer(life, 200, True, "", START)
 
 
-Break = Callable[[Guards, RequestLife], object]
+Act = Callable[[Guards, RequestLifecycle], object]
 
 
-def _answered_then(then: Break) -> Break:
-    def act(guards: Guards, life: RequestLife) -> object:
-        guards.may_answer(life, 502, False, "failed", BEGAN)
+def _after_answer(then: Act) -> Act:
+    def act(guards: Guards, life: RequestLifecycle) -> object:
+        guards.may_answer(life, 502, False, "failed", START)
         return then(guards, life)
 
     return act
 
 
-def _gone_then(then: Break) -> Break:
-    def act(guards: Guards, life: RequestLife) -> object:
-        guards.leave(life, BEGAN)
+def _after_client_left(then: Act) -> Act:
+    def act(guards: Guards, life: RequestLifecycle) -> object:
+        guards.client_left(life, START)
         return then(guards, life)
 
     return act
 
 
-def _sent_then(then: Break) -> Break:
-    def act(guards: Guards, life: RequestLife) -> object:
+def _after_send(then: Act) -> Act:
+    def act(guards: Guards, life: RequestLifecycle) -> object:
         send(guards, life)
         return then(guards, life)
 
@@ -121,115 +126,119 @@
 
 
 @pytest.mark.parametrize(
-    ("invariant", "act", "said"),
+    ("invariant", "act", "expected"),
     [
-        (Invariant.SENT_WHILE_OWED, _answered_then(send), False),
-        (Invariant.SENT_WHILE_OWED, _gone_then(send), False),
-        (Invariant.SENT_WHILE_OWED, lambda g, life: send(g, life, at=TIME + 1), False),
-        (Invariant.SENT_TO_READY_HOST, lambda g, life: send(g, life, ready=False), False),
-        (Invariant.DEADLINE_TOLD, lambda g, life: send(g, life, at=SECOND, told=TIME), False),
+        (Invariant.SENT_WHILE_OWED, _after_answer(send), False),
+        (Invariant.SENT_WHILE_OWED, _after_client_left(send), False),
+        (Invariant.SENT_WHILE_OWED, lambda g, life: send(g, life, at=DEADLINE + 1), False),
+        (Invariant.SENT_TO_READY_HOST, lambda g, life: send(g, life, is_ready=False), False),
+        (Invariant.DEADLINE_TOLD, lambda g, life: send(g, life, at=SECOND, timeout=DEADLINE), False),
         (
             Invariant.ANSWERED_ONCE,
-            _answered_then(_serve),
+            _after_answer(_answer_again),
             0,
         ),
-        (Invariant.ANSWERED_ONCE, _gone_then(_serve), 0),
-        (Invariant.ANSWER_OF_ITS_OWN, lambda g, life: g.may_answer(life, 200, False, "", BEGAN), 502),
+        (Invariant.ANSWERED_ONCE, _after_client_left(_answer_again), 0),
+        (Invariant.ANSWER_OF_ITS_OWN, lambda g, life: g.may_answer(life, 200, False, "", START), 502),
         (
             Invariant.REFUSED_ONLY_UNRUN,
-            _sent_then(lambda g, life: g.may_answer(life, 503, False, "", BEGAN)),
+            _after_send(lambda g, life: g.may_answer(life, 503, False, "", START)),
             502,
         ),
         (
             Invariant.ANSWERED_IN_TIME,
-            lambda g, life: g.may_answer(life, 504, False, "", BEGAN + TIME + SECOND),
+            lambda g, life: g.may_answer(life, 504, False, "", START + DEADLINE + SECOND),
             504,
         ),
-        (Invariant.STATE_ORDER, _answered_then(lambda g, life: g.wait(life, 1, BEGAN)), None),
-        (Invariant.CLOSED_WHEN_FREE, lambda g, life: g.close(1, True, CloseReason.IDLE, BEGAN), None),
-        (Invariant.ANSWERED_AT_EXIT, lambda g, life: g.exit(1, BEGAN), None),
+        (Invariant.STATE_ORDER, _after_answer(lambda g, life: g.attempt_waiting(life, 1, START)), None),
+        (
+            Invariant.CLOSED_WHEN_FREE,
+            lambda g, life: g.connection_closed(1, True, CloseReason.IDLE, START),
+            None,
+        ),
+        (Invariant.ANSWERED_AT_EXIT, lambda g, life: g.process_exiting(1, START), None),
     ],
 )
-def test_each_is_found_named_and_answered(invariant: Invariant, act: Break, said: object) -> None:
-    guards, life = begun("buy")
-    assert act(guards, life) == said
+def test_each_violation_is_counted_and_refused(invariant: Invariant, act: Act, expected: object) -> None:
+    guards, life = admitted("buy")
+    assert act(guards, life) == expected
     assert violated(guards) == [invariant]
     assert guards.violations.summary() == f"{invariant.value}=1"
     last = guards.ring.events()[-1]
-    assert last.kind is EventKind.VIOLATED or invariant is Invariant.ANSWERED_IN_TIME or said == 502
+    assert last.kind is EventKind.VIOLATED or invariant is Invariant.ANSWERED_IN_TIME or expected == 502
 
 
 @pytest.mark.parametrize("reason", [CloseReason.CLIENT_LEFT, CloseReason.BAD_INPUT, CloseReason.BODY_STALLED])
-def test_what_peers_end_frees_the_request(reason: CloseReason) -> None:
-    guards, _ = begun()
-    guards.close(1, True, reason, BEGAN)
+def test_connection_ended_by_a_peer_may_owe_an_answer(reason: CloseReason) -> None:
+    guards, _ = admitted()
+    guards.connection_closed(1, True, reason, START)
     assert guards.violations.summary() == "none"
 
 
-def test_a_slack_is_left_to_clocks_and_ways() -> None:
-    guards, life = begun()
-    assert send(guards, life, at=SECOND, told=3 * SECOND + 150 * MS)
-    assert guards.may_answer(life, 504, False, "", BEGAN + TIME + 500 * MS) == 504
+def test_slack_for_clocks_and_network() -> None:
+    guards, life = admitted()
+    assert send(guards, life, at=SECOND, timeout=3 * SECOND + 150 * MS)
+    assert guards.may_answer(life, 504, False, "", START + DEADLINE + 500 * MS) == 504
     assert guards.violations.summary() == "none"
 
 
-def test_the_ring_keeps_the_latest() -> None:
+def test_ring_keeps_the_latest_events() -> None:
     ring = EventRing()
     for at in range(CAPACITY + 5):
-        ring.record(at, EventKind.CLOSED, PROCESS, 0, "idle")
+        ring.record(at, EventKind.CLOSED, NO_REQUEST, 0, "idle")
     kept = ring.events()
     assert (len(kept), kept[0].moment, kept[-1].moment) == (CAPACITY, 5, CAPACITY + 4)
     assert str(kept[0]) == "0.000005 request 0 attempt 0: closed (idle)"
 
 
-class Lives(RuleBasedStateMachine):
+class RequestSequences(RuleBasedStateMachine):
     """Any order of wishes: what the guards let through keeps the rules, whatever is asked for."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.guards, self.now = Guards(Settings(CLASSES)), BEGAN
-        self.life = self.guards.start(1, "buy", BEGAN + TIME, BEGAN, "id")
-        self.out: list[int] = []
-        self.ran = False
+        self.guards, self.now = Guards(Settings(CLASSES)), START
+        self.life = self.guards.admit(1, "buy", START + DEADLINE, START, "id")
+        self.unfinished: list[int] = []
+        self.has_run = False
         self.answers = 0
 
     @rule(by=st.integers(0, SECOND))
     def time_passes(self, by: int) -> None:
         self.now += by
 
-    @rule(server=st.sampled_from([HERE, THERE]), ready=st.booleans())
-    def send(self, server: Server, ready: bool) -> None:
-        number = self.life.sent
-        if self.guards.may_send(self.life, number, server, ready, 0, self.now):
-            assert ready
-            assert not self.ran
-            assert not self.out, "an unsafe one has no copy"
+    @rule(server=st.sampled_from([FIRST_HOST, OTHER_HOST]), is_ready=st.booleans())
+    def send(self, server: Server, is_ready: bool) -> None:
+        number = self.life.attempts_sent
+        if self.guards.may_send(self.life, number, server, is_ready, 0, self.now):
+            assert is_ready
+            assert not self.has_run
+            assert not self.unfinished, "an unsafe one has no copy"
             assert self.answers == 0
-            assert self.now <= BEGAN + TIME
-            self.out.append(number)
+            assert self.now <= START + DEADLINE
+            self.unfinished.append(number)
 
-    @precondition(lambda self: self.out)
+    @precondition(lambda self: self.unfinished)
     @rule(outcome=st.sampled_from(list(Outcome)))
     def end(self, outcome: Outcome) -> None:
-        number = self.out.pop()
-        self.ran = self.ran or not outcome.never_ran
+        number = self.unfinished.pop()
+        self.has_run = self.has_run or not outcome.never_ran
         self.guards.attempt_ended(self.life, number, True, outcome, self.now)
 
-    @rule(status=st.sampled_from([200, 502, 503, 504, 429]), served=st.booleans())
-    def answer(self, status: int, served: bool) -> None:
-        given = self.guards.may_answer(self.life, status, served, "", self.now)
-        if given:
+    @rule(status=st.sampled_from([200, 502, 503, 504, 429]), is_served=st.booleans())
+    def answer(self, status: int, is_served: bool) -> None:
+        allowed_status = self.guards.may_answer(self.life, status, is_served, "", self.now)
+        if allowed_status:
             self.answers += 1
             assert self.answers == 1
             assert self.life.state is RequestState.ANSWERED
-            assert given not in (429, 503) or not (self.ran or self.out)
-            assert given != 200 or served
+            assert allowed_status not in (429, 503) or not (self.has_run or self.unfinished)
+            assert allowed_status != 200 or is_served
 
     @rule()
     def leave(self) -> None:
-        self.guards.leave(self.life, self.now)
+        self.guards.client_left(self.life, self.now)
         self.answers = 1  # none may follow
 
 
-Lives.TestCase.settings = settings(max_examples=60, stateful_step_count=20, deadline=None)
-TestLives = Lives.TestCase
+RequestSequences.TestCase.settings = settings(max_examples=60, stateful_step_count=20, deadline=None)
+TestRequestSequences = RequestSequences.TestCase
--- a/tests/invariants/test_no_bypass.py
+++ b/tests/invariants/test_no_bypass.py
@@ -21,34 +21,39 @@
                     yield function.name, ast.unparse(node)
 
 
-def _within(file: str, beginning: str) -> set[str]:
-    return {function for function, call in _calls(file) if call.startswith(beginning)}
+def _callers(file: str, prefix: str) -> set[str]:
+    return {function for function, call in _calls(file) if call.startswith(prefix)}
 
 
 @pytest.mark.parametrize(
-    ("file", "call", "places"),
+    ("file", "call", "functions"),
     [
-        ("upstream.py", "connection.carry(", {"_begin"}),
+        ("upstream.py", "connection.send_attempt(", {"_begin"}),
         ("upstream.py", "attempt.may_begin(", {"_begin"}),
-        ("upstream.py", "transport.write(attempt.text(", {"carry"}),
-        ("gateway.py", "reply(", {"_give"}),
-        ("gateway.py", "held.reply(", set()),
-        ("gateway.py", "self.guards.may_answer(", {"_give"}),
-        ("gateway.py", "self.guards.may_send(", {"_may_begin"}),
-        ("gateway.py", "self._upstream.send(", {"_send"}),
-        ("gateway.py", "_Held(", {"take", "adopt"}),
-        ("gateway.py", "self.guards.start(", {"take"}),
-        ("gateway.py", "self.guards.adopt(", {"adopt"}),
-        ("frontend.py", "end(self._transport", {"drop", "_part"}),
-        ("frontend.py", "reset(self._transport", {"cut"}),
+        ("upstream.py", "transport.write(attempt.encode(", {"send_attempt"}),
+        ("gateway.py", "send_answer(", {"_deliver_answer"}),
+        ("gateway.py", "pending.send_answer(", set()),
+        ("gateway.py", "self.guards.may_answer(", {"_deliver_answer"}),
+        ("gateway.py", "self.guards.may_send(", {"_check_start"}),
+        ("gateway.py", "self._upstream.send(", {"_send_attempt"}),
+        ("gateway.py", "_PendingRequest(", {"submit_request", "adopt_request"}),
+        ("gateway.py", "self.guards.admit(", {"submit_request"}),
+        ("gateway.py", "self.guards.adopt(", {"adopt_request"}),
+        ("frontend.py", "close_now(self._transport", {"abort_connection", "_close_after_output"}),
+        ("frontend.py", "reset(self._transport", {"abort_body"}),
         ("frontend.py", "transport.abort(", {"connection_made"}),
     ],
 )
-def test_there_is_no_other_way(file: str, call: str, places: set[str]) -> None:
-    assert _within(file, call) == places
-
-
-def test_whoever_closes_a_client_has_the_guard_look_first() -> None:
-    closing = ("end(self._transport", "reset(self._transport", "self._transport.close(", "transport.abort(")
-    places = set.union(*(_within("frontend.py", call) for call in closing))
-    assert places <= _within("frontend.py", "self._note_close(")
+def test_guarded_calls_are_made_only_in_these_functions(file: str, call: str, functions: set[str]) -> None:
+    assert _callers(file, call) == functions
+
+
+def test_each_close_of_a_client_connection_asks_the_guard() -> None:
+    closing = (
+        "close_now(self._transport",
+        "reset(self._transport",
+        "self._transport.close(",
+        "transport.abort(",
+    )
+    functions = set.union(*(_callers("frontend.py", call) for call in closing))
+    assert functions <= _callers("frontend.py", "self._record_close(")
--- a/tests/membership/test_json_stream.py
+++ b/tests/membership/test_json_stream.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whinrouter.membership.json_stream import Texts
+from whinrouter.membership.json_stream import DocumentSplitter
 
 MOST = 10_000
 # Brackets, quotes and escapes inside strings are what a count of brackets could trip over.
@@ -31,7 +31,7 @@
 
 
 def _read(pieces: list[bytes]) -> list[Any]:
-    texts = Texts(MOST)
+    texts = DocumentSplitter(MOST)
     return [json.loads(text) if text else "" for piece in pieces for text in texts.feed(piece)]
 
 
@@ -46,7 +46,7 @@
 
 
 def test_a_text_is_given_with_the_end_of_its_last_line_and_not_before() -> None:
-    texts = Texts(MOST)
+    texts = DocumentSplitter(MOST)
     assert list(texts.feed(b'{\n "members": [\n  {}\n ]\n}')) == []
     assert len(list(texts.feed(b"\n"))) == 1
 
@@ -63,14 +63,14 @@
     ids=["an empty line", "a string", "a bracket", "without end", "a line without end"],
 )
 def test_what_broke_off_is_told_at_once(broken: bytes) -> None:
-    texts = Texts(MOST)
+    texts = DocumentSplitter(MOST)
     with pytest.raises(ValueError, match="list"):
         list(texts.feed(broken))
 
 
 def test_a_text_cut_short_before_another_is_never_taken_for_one() -> None:
     """The line behind it opens inside it, and the empty line that comes next can't be part of it."""
-    texts = Texts(MOST)
+    texts = DocumentSplitter(MOST)
     given = texts.feed(b'{"revision": 43, "members": [\n{"revision": 44, "members": []}\n\n')
     with pytest.raises(ValueError, match="broke off"):
         list(given)
--- a/tests/membership/test_retry_policy.py
+++ b/tests/membership/test_retry_policy.py
@@ -8,7 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whinrouter.membership.retry_policy import BEAT, PUSHED, TOLD, asked
+from whinrouter.membership.retry_policy import (
+    HEARTBEAT_SECONDS,
+    LOCAL_AGENT_POLICY,
+    NOTIFICATION_DEADLINE_SECONDS,
+    shared_service_policy,
+)
 
 LEAST_GRACE = 0.5  # seconds that hosts which drain are still sent to, as the settings had it at the least
 
@@ -16,18 +21,24 @@
 def test_a_new_list_is_here_before_a_silent_agent_s_news_count_as_told() -> None:
     """Silent right after a byte; the next try comes to nothing, as late as can be; the one behind answers."""
     random = Random(1)
-    silence = max(PUSHED.drawn_silence(random) for _ in range(100))
-    one_try = PUSHED.connect + PUSHED.first
-    pauses = sum(max(PUSHED.pause(failed, True, random) for _ in range(1000)) for failed in (0, 1))
-    assert silence + pauses + 2 * one_try <= TOLD + LEAST_GRACE
-    assert silence > BEAT, "one line that comes in time would be missed"
+    silence = max(LOCAL_AGENT_POLICY.draw_silence_timeout(random) for _ in range(100))
+    one_try = LOCAL_AGENT_POLICY.connect_timeout + LOCAL_AGENT_POLICY.first_line_timeout
+    pauses = sum(
+        max(LOCAL_AGENT_POLICY.backoff(failed, True, random) for _ in range(1000)) for failed in (0, 1)
+    )
+    assert silence + pauses + 2 * one_try <= NOTIFICATION_DEADLINE_SECONDS + LEAST_GRACE
+    assert silence > HEARTBEAT_SECONDS, "one line that comes in time would be missed"
 
 
 def test_an_agent_that_says_nothing_for_long_is_asked_as_often_as_at_first() -> None:
     """What it gets when its service is back counts at once."""
     random = Random(1)
     assert (
-        max(PUSHED.pause(failed, full, random) for failed in range(200) for full in (False, True))
+        max(
+            LOCAL_AGENT_POLICY.backoff(failed, full, random)
+            for failed in range(200)
+            for full in (False, True)
+        )
         <= LEAST_GRACE / 2
     )
 
@@ -38,11 +49,13 @@
 @pytest.mark.parametrize("gateways", [1, 4, 30, 200, 790])
 def test_a_service_that_is_reached_has_told_its_news_in_time(gateways: int) -> None:
     """From the last byte of a watch that fell silent; with 200 gateways the pause alone was 5 s."""
-    patience, random = asked(gateways, 10.0), Random(1)
-    silence = max(patience.drawn_silence(random) for _ in range(1000))
-    pause = max(patience.pause(0, False, random) for _ in range(1000))
-    assert silence + pause + patience.connect + ANSWER <= TOLD + LEAST_GRACE
-    assert min(patience.drawn_silence(random) for _ in range(1000)) > 1.5 * BEAT
+    retry_policy, random = shared_service_policy(gateways, 10.0), Random(1)
+    silence = max(retry_policy.draw_silence_timeout(random) for _ in range(1000))
+    pause = max(retry_policy.backoff(0, False, random) for _ in range(1000))
+    assert (
+        silence + pause + retry_policy.connect_timeout + ANSWER <= NOTIFICATION_DEADLINE_SECONDS + LEAST_GRACE
+    )
+    assert min(retry_policy.draw_silence_timeout(random) for _ in range(1000)) > 1.5 * HEARTBEAT_SECONDS
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 40, 200, 790])
@@ -50,7 +63,7 @@
     """It takes a call from every gateway in 2 s, the least that such a service does at any scale."""
     listed = _listed_at(gateways, took=2.0 / gateways, until=60.0)
     assert len(listed) == gateways
-    assert max(listed) <= TOLD + LEAST_GRACE
+    assert max(listed) <= NOTIFICATION_DEADLINE_SECONDS + LEAST_GRACE
 
 
 @pytest.mark.parametrize("gateways", [40, 200, 790])
@@ -65,11 +78,11 @@
 def test_pauses_grow_up_to_what_the_settings_allow(
     gateways: int, ask_every: float, failed: int, full: bool, seed: int
 ) -> None:
-    patience = asked(gateways, ask_every)
-    pause = patience.pause(failed, full, Random(seed))
-    assert 0 < pause <= patience.most_pause
+    retry_policy = shared_service_policy(gateways, ask_every)
+    pause = retry_policy.backoff(failed, full, Random(seed))
+    assert 0 < pause <= retry_policy.max_backoff
     # Counted fourfold after a failed call, and a call and its connection take a while.
-    assert patience.most_pause <= max(2.0, 2 * ask_every)
+    assert retry_policy.max_backoff <= max(2.0, 2 * ask_every)
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 40, 200])
@@ -84,9 +97,9 @@
 
 def _listed_at(gateways: int, took: float, until: float, ask_every: float = 10.0) -> list[float]:
     """When each has its list, after all watches fell silent at once; a call takes so long of the service."""
-    patience, random, limit = asked(gateways, ask_every), Random(gateways), 2.0
+    retry_policy, random, limit = shared_service_policy(gateways, ask_every), Random(gateways), 2.0
     tries = sorted(
-        (patience.drawn_silence(random) + patience.pause(0, False, random), 0, gateway)
+        (retry_policy.draw_silence_timeout(random) + retry_policy.backoff(0, False, random), 0, gateway)
         for gateway in range(gateways)
     )
     free, have = 0.0, []
@@ -98,7 +111,7 @@
         if free - at <= limit:
             have.append(free)
             continue
-        back = at + limit + patience.pause(failed + 1, True, random)
+        back = at + limit + retry_policy.backoff(failed + 1, True, random)
         tries.append((back, failed + 1, gateway))
         tries.sort()
     return have
@@ -116,7 +129,7 @@
 
     def __init__(self, seed: int, took: float) -> None:
         self._random, self._took = Random(seed), took
-        self._patience = asked(self.MANY, 10.0)
+        self._policy = shared_service_policy(self.MANY, 10.0)
         self._free = 0.0  # when the service is
         self._later: list[tuple[float, int, int]] = []  # calls that are still to be made
         self.listed: dict[int, float] = {}  # when each gateway's latest process had a list
@@ -130,7 +143,7 @@
             [(random.uniform(0, 0.1) + self._start(), one) for one in range(self.MANY)], self.AT, killed
         )
         had = {
-            one: self.AT - random.uniform(0, BEAT)
+            one: self.AT - random.uniform(0, HEARTBEAT_SECONDS)
             for one in killed
             if self.listed.pop(one, self.AT) < self.AT
         }
@@ -140,11 +153,11 @@
         return sum(self._late(one, last) for one, last in had.items())
 
     def _late(self, one: int, last: float) -> bool:
-        told = max(last + TOLD, self.dropped.get(one, 0.0) + self.LIMIT)
+        told = max(last + NOTIFICATION_DEADLINE_SECONDS, self.dropped.get(one, 0.0) + self.LIMIT)
         return self.listed.get(one, self.UNTIL) > told + LEAST_GRACE and one in self.dropped
 
     def _start(self) -> float:
-        return self._patience.first_pause(self._random)
+        return self._policy.start_delay(self._random)
 
     def _calls(self, calls: list[tuple[float, int]], until: float, killed: list[int]) -> None:
         """Let the calls be made up to then; those who are not killed go on with theirs afterwards."""
@@ -170,7 +183,7 @@
             return None
         ended = at + self.LIMIT if full else done
         self.dropped.setdefault(one, ended)
-        return ended + self._patience.pause(failed + 1, full, self._random)
+        return ended + self._policy.backoff(failed + 1, full, self._random)
 
 
 @pytest.mark.parametrize("took", [0.13, 0.14])
--- a/tests/membership/test_start_times.py
+++ b/tests/membership/test_start_times.py
@@ -14,50 +14,52 @@
 
 
 @given(st.lists(st.integers(0, 7200), min_size=1, max_size=6), SKEWS, st.integers(0, 100))
-def test_a_first_list_makes_no_host_older_than_it_is(ages: list[int], skew: int, delay: int) -> None:
+def test_first_list_makes_no_host_older_than_it_is(ages: list[int], skew: int, delay: int) -> None:
     """Whatever the lists' clock is off by, and however late the list comes."""
-    servers = [Server(n, started=UNIX + skew - age * SECOND) for n, age in enumerate(ages)]
+    servers = [Server(n, started_at=UNIX + skew - age * SECOND) for n, age in enumerate(ages)]
     localised = StartTimes().localise(servers, NOW + delay * SECOND)
     for server, age in zip(localised, ages, strict=True):
-        assert server.started >= NOW - age * SECOND
-    assert max(server.started for server in localised) == NOW + delay * SECOND
-    apart = [here.started - told.started for here, told in zip(localised, servers, strict=True)]
-    assert len(set(apart)) == 1
+        assert server.started_at >= NOW - age * SECOND
+    assert max(server.started_at for server in localised) == NOW + delay * SECOND
+    offsets = [
+        here.started_at - reported.started_at for here, reported in zip(localised, servers, strict=True)
+    ]
+    assert len(set(offsets)) == 1
 
 
 @given(SKEWS)
-def test_a_start_that_is_news_counts_from_when_it_was_first_seen(skew: int) -> None:
+def test_new_start_counts_from_when_it_was_first_seen(skew: int) -> None:
     starts = StartTimes()
-    starts.localise([Server(1), Server(2, started=UNIX)], NOW)
-    changed = [Server(2, started=UNIX + 5 + skew), Server(3, started=UNIX + 9 - skew)]
-    assert [server.started for server in starts.localise(changed, NOW + 50)] == [NOW + 50, NOW + 50]
-    assert [server.started for server in starts.localise(changed, NOW + 90)] == [NOW + 50, NOW + 50]
-    assert starts.localise([Server(1)], NOW + 99)[0].started == 0
+    starts.localise([Server(1), Server(2, started_at=UNIX)], NOW)
+    changed = [Server(2, started_at=UNIX + 5 + skew), Server(3, started_at=UNIX + 9 - skew)]
+    assert [server.started_at for server in starts.localise(changed, NOW + 50)] == [NOW + 50, NOW + 50]
+    assert [server.started_at for server in starts.localise(changed, NOW + 90)] == [NOW + 50, NOW + 50]
+    assert starts.localise([Server(1)], NOW + 99)[0].started_at == 0
 
 
-def test_an_empty_list_is_no_first_list() -> None:
+def test_empty_list_does_not_count_as_the_first() -> None:
     starts = StartTimes()
     starts.localise([], NOW)
-    first = starts.localise([Server(1, started=UNIX - 50), Server(2, started=UNIX)], NOW + 100)
-    assert [server.started for server in first] == [NOW + 50, NOW + 100]
+    first = starts.localise([Server(1, started_at=UNIX - 50), Server(2, started_at=UNIX)], NOW + 100)
+    assert [server.started_at for server in first] == [NOW + 50, NOW + 100]
 
 
 @given(SKEWS)
-def test_another_process_goes_on_with_the_ages_on_its_own_clock(skew: int) -> None:
+def test_ages_are_handed_over_to_another_clock(skew: int) -> None:
     older = StartTimes()
-    servers = [Server(1, started=UNIX), Server(2, started=UNIX - 50), Server(3)]
+    servers = [Server(1, started_at=UNIX), Server(2, started_at=UNIX - 50), Server(3)]
     before = older.localise(servers, NOW)
     newer = StartTimes()
     newer.adopt(older.ages(NOW + 30), NOW + 30 + skew)
     after = newer.localise(servers, NOW + 40 + skew)
-    assert [s.started + skew if s.started else 0 for s in before] == [s.started for s in after]
+    assert [s.started_at + skew if s.started_at else 0 for s in before] == [s.started_at for s in after]
 
 
-def test_hosts_that_come_and_go_do_not_add_up() -> None:
+def test_entries_of_gone_hosts_are_bounded() -> None:
     starts = StartTimes()
-    stays = starts.localise([Server(0, started=UNIX)], NOW)[0]
+    stays = starts.localise([Server(0, started_at=UNIX)], NOW)[0]
     for n in range(1, 10 * SPARE_ENTRIES):
-        starts.localise([Server(n, started=UNIX + n), Server(n, State.GONE, started=UNIX + n)], NOW + n)
-        starts.limit({0})
+        starts.localise([Server(n, started_at=UNIX + n), Server(n, State.GONE, started_at=UNIX + n)], NOW + n)
+        starts.trim({0})
         assert len(starts.ages(NOW)) <= SPARE_ENTRIES + 1
-    assert starts.localise([Server(0, started=UNIX)], NOW + n)[0] == stays
+    assert starts.localise([Server(0, started_at=UNIX)], NOW + n)[0] == stays
--- a/tests/operations/test_maintenance.py
+++ b/tests/operations/test_maintenance.py
@@ -9,13 +9,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from whinrouter.interface import Server, ServerId, State, Update
-from whinrouter.operations.maintenance import Maintenance, NoSuchHostError
+from whinrouter.operations.maintenance import Maintenance, UnknownHostError
 
 IDS = st.integers(1, 4)
 STATES = st.sampled_from([State.READY, State.READY, State.DRAINING, State.GONE])
 
 
-class Calls(RuleBasedStateMachine):
+class MaintenanceMachine(RuleBasedStateMachine):
     """The gateway has what discovery lists less what is out, and cold where it was put back."""
 
     def __init__(self) -> None:
@@ -26,61 +26,61 @@
         self.listed: dict[ServerId, Server] = {}  # what discovery has told
         self.out: set[ServerId] = set()
 
-    def _take(self, servers: tuple[Server, ...]) -> None:
+    def _deliver(self, servers: tuple[Server, ...]) -> None:
         for server in servers:
             self.shown[server.id] = server
 
     @rule(server_id=IDS, state=STATES, restarted=st.booleans())
     def changes(self, server_id: int, state: State, restarted: bool) -> None:
         self.now += 10
-        started = self.now if restarted else self.listed.get(server_id, Server(server_id)).started
-        server = Server(server_id, state, started=started)
+        started = self.now if restarted else self.listed.get(server_id, Server(server_id)).started_at
+        server = Server(server_id, state, started_at=started)
         if state is State.GONE:
             self.listed.pop(server_id, None)
         else:
             self.listed[server_id] = server
-        self._take(self.state.follow(Update.CHANGES, (server,)))
+        self._deliver(self.state.apply(Update.CHANGES, (server,)))
 
     @rule(ids=st.sets(IDS))
     def whole(self, ids: set[int]) -> None:
         self.now += 10
         self.listed = {i: replace(self.listed.get(i, Server(i)), state=State.READY) for i in ids}
         self.shown = {}
-        self._take(self.state.follow(Update.FULL, tuple(self.listed.values())))
+        self._deliver(self.state.apply(Update.FULL, tuple(self.listed.values())))
 
     @rule(server_id=IDS)
     def take_out(self, server_id: int) -> None:
         self.now += 10
         if server_id not in self.listed and server_id not in self.out:
-            with pytest.raises(NoSuchHostError):
+            with pytest.raises(UnknownHostError):
                 self.state.take_out(server_id, self.now)
             return
         self.out.add(server_id)
-        self._take(self.state.take_out(server_id, self.now))
+        self._deliver(self.state.take_out(server_id, self.now))
 
     @rule(server_id=IDS)
     def put_back(self, server_id: int) -> None:
         self.now += 10
         if server_id not in self.listed and server_id not in self.out:
-            with pytest.raises(NoSuchHostError):
+            with pytest.raises(UnknownHostError):
                 self.state.put_back(server_id, self.now)
             return
         was_out = server_id in self.out
         self.out.discard(server_id)
         back = self.state.put_back(server_id, self.now)
-        self._take(back)
+        self._deliver(back)
         if was_out and server_id in self.listed:
-            assert back[0].started == self.now, "its return is cold"
+            assert back[0].started_at == self.now, "its return is cold"
 
     @precondition(lambda self: self.out)
     @rule()
     def upgrade(self) -> None:
         """Another process goes on with what this one has."""
-        fresh = Maintenance()
-        fresh.adopt(*self.state.ages(self.now), self.now)
+        successor = Maintenance()
+        successor.restore(*self.state.ages(self.now), self.now)
         self.shown = {}
-        self._take(fresh.follow(Update.STALE, tuple(self.listed.values())))
-        self.state = fresh
+        self._deliver(successor.apply(Update.STALE, tuple(self.listed.values())))
+        self.state = successor
 
     @invariant()
     def nothing_out_is_ready(self) -> None:
@@ -91,19 +91,19 @@
     @invariant()
     def no_start_is_told_too_early(self) -> None:
         for server_id, server in self.listed.items():
-            assert self.shown[server_id].started >= server.started
+            assert self.shown[server_id].started_at >= server.started_at
 
 
-TestCalls = Calls.TestCase
+TestMaintenance = MaintenanceMachine.TestCase
 
 
 def test_the_restart_of_one_call_is_one_restart() -> None:
     """Discovery tells late of the start between the calls; later it tells of another."""
     state = Maintenance()
-    state.follow(Update.FULL, (Server(1, started=5),))
+    state.apply(Update.FULL, (Server(1, started_at=5),))
     state.take_out(1, 10)
-    assert state.put_back(1, 20)[0].started == 20
-    assert state.follow(Update.CHANGES, (Server(1, started=15),))[0].started == 20
-    assert state.follow(Update.CHANGES, (Server(1, started=30),))[0].started == 30
-    assert state.follow(Update.CHANGES, (Server(1, started=30),))[0].started == 30
-    assert not state.back
+    assert state.put_back(1, 20)[0].started_at == 20
+    assert state.apply(Update.CHANGES, (Server(1, started_at=15),))[0].started_at == 20
+    assert state.apply(Update.CHANGES, (Server(1, started_at=30),))[0].started_at == 30
+    assert state.apply(Update.CHANGES, (Server(1, started_at=30),))[0].started_at == 30
+    assert not state.put_back_at
--- a/tests/operations/test_presence.py
+++ b/tests/operations/test_presence.py
@@ -4,23 +4,27 @@
 
 import pytest
 
-from whinrouter.operations.presence import ENDS_AFTER, MOST_COUNTED, Presence
+from whinrouter.operations.presence import KILL_DELAY_SECONDS, MAX_COUNTED_DEADLINE_SECONDS, Presence
 
 
-@pytest.mark.parametrize("longest", [0.3, 3.0, 20.0])
-def test_what_comes_late_after_the_signal_is_answered_before_the_process_is_ended(longest: float) -> None:
+@pytest.mark.parametrize("longest_deadline", [0.3, 3.0, 20.0])
+def test_what_comes_late_after_the_signal_is_answered_before_the_process_is_ended(
+    longest_deadline: float,
+) -> None:
     presence = Presence()
-    assert presence.time_left(100.0, longest) is None
+    assert presence.time_left(100.0, longest_deadline) is None
     presence.leave(100.0)
-    assert presence.time_left(200.0, longest) is None, "a process that an operator empties is not ended"
+    assert presence.time_left(200.0, longest_deadline) is None, (
+        "a process that an operator empties is not ended"
+    )
     presence = Presence()
     presence.stop(100.0)
-    killed = 100.0 + ENDS_AFTER + min(longest, MOST_COUNTED)
-    assert presence.time_left(100.0 + ENDS_AFTER, longest) is None, "it has its own time"
-    for now in (100.01 + ENDS_AFTER, killed - 0.1, killed, killed + 50):
-        left = presence.time_left(now, longest)
+    killed_at = 100.0 + KILL_DELAY_SECONDS + min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS)
+    assert presence.time_left(100.0 + KILL_DELAY_SECONDS, longest_deadline) is None, "it has its own time"
+    for now in (100.01 + KILL_DELAY_SECONDS, killed_at - 0.1, killed_at, killed_at + 50):
+        left = presence.time_left(now, longest_deadline)
         assert left is not None
-        assert left == pytest.approx(max(0.0, killed - now))
+        assert left == pytest.approx(max(0.0, killed_at - now))
 
 
 def test_the_first_signal_counts() -> None:
--- a/tests/operations/test_reload_checks.py
+++ b/tests/operations/test_reload_checks.py
@@ -10,34 +10,34 @@
 import pytest
 
 from tests.helpers import BUY, CLASSES, READ, Driver
-from tests.test_program import SETUP, told
+from tests.test_program import SETTINGS, platform_config
 from whinrouter.interface import MS, Effect, Outcome, Settings
 from whinrouter.operations.reload_checks import findings
 
-IN_FORCE = told(1)
+IN_FORCE = platform_config(1)
 
 
-def _paths(value: Any, at: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+def _paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
     entries = (
         value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     )
     for key, inner in entries:
         if key != "known":
             if isinstance(value, dict):
-                yield (*at, key)
-            yield from _paths(inner, (*at, key))
+                yield (*path, key)
+            yield from _paths(inner, (*path, key))
 
 
-def _changed(path: tuple[Any, ...], *value: Any) -> dict[str, Any]:
+def _modified(path: tuple[Any, ...], *value: Any) -> dict[str, Any]:
     """The configuration in force without a key, or with another value there."""
     fresh = copy.deepcopy(IN_FORCE)
-    place: Any = fresh
+    node: Any = fresh
     for key in path[:-1]:
-        place = place[key]
+        node = node[key]
     if value:
-        place[path[-1]] = value[0]
+        node[path[-1]] = value[0]
     else:
-        del place[path[-1]]
+        del node[path[-1]]
     return fresh
 
 
@@ -46,8 +46,8 @@
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: ".".join(map(str, path)))
 def test_what_lacks_a_key_or_has_it_as_something_else_is_refused(path: tuple[Any, ...]) -> None:
-    assert any(str(path[-1]) in finding for finding in findings(_changed(path), IN_FORCE))
-    assert findings(_changed(path, None), IN_FORCE)
+    assert any(str(path[-1]) in finding for finding in findings(_modified(path), IN_FORCE))
+    assert findings(_modified(path, None), IN_FORCE)
 
 
 @pytest.mark.parametrize("value", [0, -5, "1", None, float("nan"), True])
@@ -60,39 +60,39 @@
     ],
 )
 def test_times_and_attempts_are_positive_numbers(path: tuple[Any, ...], value: object) -> None:
-    assert findings(_changed(path, value), IN_FORCE)
+    assert findings(_modified(path, value), IN_FORCE)
 
 
 def test_all_is_found_at_once() -> None:
-    fresh = _changed(("settings", "classes", 0, "giveUp"), -1)
+    fresh = _modified(("settings", "classes", 0, "giveUp"), -1)
     del fresh["discovery"]
     fresh["settings"]["classes"][1]["name"] = "page-read"
     assert len(findings(fresh, IN_FORCE)) == 3
 
 
 def test_classes_may_come_and_go() -> None:
-    entry = SETUP["classes"][0]
-    assert not findings(_changed(("settings", "classes"), [entry | {"name": "new", "more": 1}]), IN_FORCE)
-    assert findings(_changed(("settings", "classes"), []), IN_FORCE)
-    assert findings(_changed(("settings", "classes"), ["new"]), IN_FORCE)
+    entry = SETTINGS["classes"][0]
+    assert not findings(_modified(("settings", "classes"), [entry | {"name": "new", "more": 1}]), IN_FORCE)
+    assert findings(_modified(("settings", "classes"), []), IN_FORCE)
+    assert findings(_modified(("settings", "classes"), ["new"]), IN_FORCE)
 
 
-def _retuned(driver: Driver, *classes: Any, **fields: Any) -> None:
+def _retune(driver: Driver, *classes: Any, **fields: Any) -> None:
     settings = replace(driver.settings, classes=classes, **fields)
-    driver.balancer.retune(settings)
+    driver.balancer.update_settings(settings)
     driver.settings = settings
 
 
 def test_a_request_under_way_keeps_its_class_where_that_vanishes() -> None:
     driver = Driver()
-    read, buy = driver.ask(READ), driver.ask(BUY)
-    _retuned(driver, replace(BUY, name="other"))
+    read, buy = driver.submit(READ), driver.submit(BUY)
+    _retune(driver, replace(BUY, name="other"))
     driver.now += 10 * MS
-    driver.end(driver.out(read)[0], Outcome.ERROR)
-    assert driver.out(read), "it is safe to repeat still"
-    driver.end(driver.out(buy)[0], Outcome.ERROR)
+    driver.end_attempt(driver.running(read)[0], Outcome.ERROR)
+    assert driver.running(read), "it is safe to repeat still"
+    driver.end_attempt(driver.running(buy)[0], Outcome.ERROR)
     assert driver.answers[buy] == ["failed"], "and this one is not"
-    driver.end(driver.out(read)[0])
+    driver.end_attempt(driver.running(read)[0])
     assert driver.answers[read] == ["served"]
     driver.classes = (replace(BUY, name="other"),)
     driver.serve(driver.classes[0])
@@ -100,31 +100,31 @@
 
 def test_a_class_that_turns_unsafe_is_unsafe_for_those_who_come_after() -> None:
     driver = Driver()
-    early = driver.ask(READ)
+    early = driver.submit(READ)
     strict = replace(READ, effect=Effect.AT_MOST_ONCE)
-    _retuned(driver, strict, BUY)
+    _retune(driver, strict, BUY)
     driver.classes = (strict, BUY)
-    late = driver.ask(strict)
-    driver.end(driver.out(late)[0], Outcome.RESET)
+    late = driver.submit(strict)
+    driver.end_attempt(driver.running(late)[0], Outcome.RESET)
     assert driver.answers[late] == ["failed"]
     driver.classes = CLASSES
-    driver.end(driver.out(early)[0], Outcome.RESET)
-    assert driver.out(early)
+    driver.end_attempt(driver.running(early)[0], Outcome.RESET)
+    assert driver.running(early)
 
 
 def test_fewer_attempts_bind_those_under_way_and_more_do_not() -> None:
-    driver = Driver(Settings(CLASSES, max_attempts=4, may_hedge=True), count=8)
-    request = driver.ask(READ)
+    driver = Driver(Settings(CLASSES, max_attempts=4, may_hedge=True), server_count=8)
+    request = driver.submit(READ)
     for _ in range(2):
         driver.now += 10 * MS
-        driver.end(driver.out(request)[0], Outcome.ERROR)
-    _retuned(driver, *CLASSES, max_attempts=1)
-    driver.end(driver.out(request)[0], Outcome.ERROR)
+        driver.end_attempt(driver.running(request)[0], Outcome.ERROR)
+    _retune(driver, *CLASSES, max_attempts=1)
+    driver.end_attempt(driver.running(request)[0], Outcome.ERROR)
     assert len(driver.attempts(request)) == 3
     assert driver.answers[request] == ["refused"]
-    other = driver.ask(READ)
-    _retuned(driver, *CLASSES, max_attempts=4)
-    driver.end(driver.out(other)[0], Outcome.ERROR)
+    other = driver.submit(READ)
+    _retune(driver, *CLASSES, max_attempts=4)
+    driver.end_attempt(driver.running(other)[0], Outcome.ERROR)
     assert len(driver.attempts(other)) == 1
 
 
@@ -134,12 +134,16 @@
         driver.serve(READ)
         driver.serve(BUY)
     limits = {server: host.limit for server, host in driver.balancer._hosts.items()}
-    out = driver.ask(READ)
-    _retuned(driver, BUY)
+    out = driver.submit(READ)
+    _retune(driver, BUY)
     driver.now += 30 * MS
-    driver.end(driver.out(out)[0])
+    driver.end_attempt(driver.running(out)[0])
     assert {server: host.limit for server, host in driver.balancer._hosts.items()} == pytest.approx(
         limits, abs=2
     )
-    stores = (driver.balancer._usual, driver.balancer._typical, driver.balancer._marks)
+    stores = (
+        driver.balancer._unit_latencies,
+        driver.balancer._median_latencies,
+        driver.balancer._late_multiples,
+    )
     assert all(set(store) == {"buy"} for store in stores)
--- a/tests/operator/test_corpus.py
+++ b/tests/operator/test_corpus.py
@@ -6,38 +6,41 @@
 
 import pytest
 
-from tests.operator.cases import BASE, Case, cases
+from tests.operator.cases import BASE, Case, load_cases
 from whinrouter.operator.findings import Finding
-from whinrouter.operator.host import check_host, configurations
+from whinrouter.operator.host import check_host, load_configurations
 
-CASES = cases()
+CASES = load_cases()
 
 
-def findings(folder: Path) -> list[Finding]:
-    loads, wrong = configurations(folder)
-    return sorted({*wrong, *check_host(loads)})
+def check_folder(folder: Path) -> list[Finding]:
+    configurations, folder_findings = load_configurations(folder)
+    return sorted({*folder_findings, *check_host(configurations)})
 
 
 @pytest.mark.parametrize("case", CASES, ids=[case.title for case in CASES])
-def test_a_broken_configuration_is_refused_for_its_reason(case: Case, tmp_path: Path) -> None:
-    case.lay(tmp_path)
-    found = findings(tmp_path)
-    shown = [f"{one.place} {one.key or '-'} {one.code}".replace(f"{tmp_path}/", "") for one in found]
+def test_broken_configuration_gets_the_expected_findings(case: Case, tmp_path: Path) -> None:
+    case.write_to(tmp_path)
+    findings = check_folder(tmp_path)
+    lines = [
+        f"{finding.location} {finding.key or '-'} {finding.code}".replace(f"{tmp_path}/", "")
+        for finding in findings
+    ]
     # A key alone says where its file is not of interest: a default that does not fit.
-    exact = [line for line in case.expected if len(line.split(" ")) > 1]
+    exact_lines = [line for line in case.expected if len(line.split(" ")) > 1]
     keys = [line for line in case.expected if len(line.split(" ")) == 1]
-    assert sorted(line for line in shown if line.split(" ")[1] not in keys) == sorted(exact)
-    assert {line.split(" ")[1] for line in shown} >= set(keys)
-    for one in found:
-        assert one.reason.endswith(".")
-        assert one.todo.endswith((".", "?"))
+    assert sorted(line for line in lines if line.split(" ")[1] not in keys) == sorted(exact_lines)
+    assert {line.split(" ")[1] for line in lines} >= set(keys)
+    for finding in findings:
+        assert finding.reason.endswith(".")
+        assert finding.todo.endswith((".", "?"))
 
 
-def test_the_corpus_is_as_large_as_it_should_be() -> None:
+def test_corpus_has_enough_cases_with_unique_titles() -> None:
     assert len(CASES) >= 150
     assert len({case.title for case in CASES}) == len(CASES)
 
 
-def test_what_the_cases_start_from_is_good(tmp_path: Path) -> None:
-    BASE.lay(tmp_path)
-    assert findings(tmp_path) == []
+def test_base_case_has_no_findings(tmp_path: Path) -> None:
+    BASE.write_to(tmp_path)
+    assert check_folder(tmp_path) == []
--- a/tests/operator/test_mutations.py
+++ b/tests/operator/test_mutations.py
@@ -14,15 +14,20 @@
 from whinrouter.operator.loading import load
 from whinrouter.sidecar import routes
 
-GOOD = {path.name: path.read_text() for path in sorted((CORPUS / "good").glob("*.toml"))}
-NAMES = {"LISTEN": "127.0.0.1:9100", "HOST": "127.0.0.1:7001", "DISCOVERY": "127.0.0.1:8500", "PORT": "9100"}
+GOOD_FILES = {path.name: path.read_text() for path in sorted((CORPUS / "good").glob("*.toml"))}
+PLACEHOLDERS = {
+    "LISTEN": "127.0.0.1:9100",
+    "HOST": "127.0.0.1:7001",
+    "DISCOVERY": "127.0.0.1:8500",
+    "PORT": "9100",
+}
 
 # What the catalogue says of each path: whether a repeat may run it twice, and whether it may at all.
 RANKS = {Effect.AT_MOST_ONCE: 0, Effect.KEYED: 1, Effect.IDEMPOTENT: 2}
-DECLARED = {"/page-read": 2, "/chapter-buy": 0, "/mark-read": 1}
+DECLARED_RANKS = {"/page-read": 2, "/chapter-buy": 0, "/mark-read": 1}
 
 _EFFECTS = st.sampled_from(["at most once", "keyed", "idempotent"])
-_CLASSES = st.sampled_from(["page-read", "chapter-buy", "mark-read", "gift-buy", "other"])
+_CLASS_NAMES = st.sampled_from(["page-read", "chapter-buy", "mark-read", "gift-buy", "other"])
 _PATHS = st.sampled_from(
     ["/", "/chapter", "/chapter-buy", "/chapter-buy/x", "/page-read", "/mark-read", "/m"]
 )
@@ -31,33 +36,35 @@
 )
 _SETTING = st.one_of(
     _EFFECTS.map(lambda value: f'effect = "{value}"'),
-    _CLASSES.map(lambda value: f'like = "{value}"'),
+    _CLASS_NAMES.map(lambda value: f'like = "{value}"'),
     _PATHS.map(lambda value: f'path = "{value}"'),
     _METHODS.map(lambda value: f"methods = {value}"),
     st.sampled_from(["0s", "10s", "11s"]).map(lambda value: f'remembered = "{value}"'),
 )
-_KEYS = st.lists(_SETTING, min_size=1, max_size=4, unique_by=lambda line: line.split(" ")[0]).map("\n".join)
-_CLASS = st.tuples(_CLASSES, _KEYS).map(lambda pair: f'[[class]]\nname = "{pair[0]}"\n{pair[1]}\n')
-_DEFAULTS = st.one_of(st.just(""), _KEYS.map(lambda keys: f"[class_defaults]\n{keys}\n"))
+_SETTINGS = st.lists(_SETTING, min_size=1, max_size=4, unique_by=lambda line: line.split(" ")[0]).map(
+    "\n".join
+)
+_CLASS = st.tuples(_CLASS_NAMES, _SETTINGS).map(lambda pair: f'[[class]]\nname = "{pair[0]}"\n{pair[1]}\n')
+_DEFAULTS = st.one_of(st.just(""), _SETTINGS.map(lambda lines: f"[class_defaults]\n{lines}\n"))
 
 
-def lay(folder: Path, files: dict[str, str]) -> None:
+def write_files(folder: Path, files: dict[str, str]) -> None:
     (folder / "catalogue.toml").write_bytes(BASE.files["catalogue.toml"])
     for file, text in files.items():
-        whole = text.replace("FOLDER", str(folder))
-        for name, value in NAMES.items():
-            whole = whole.replace(name, value)
-        (folder / file).write_text(whole)
+        filled = text.replace("FOLDER", str(folder))
+        for name, value in PLACEHOLDERS.items():
+            filled = filled.replace(name, value)
+        (folder / file).write_text(filled)
 
 
-def holds(folder: Path, file: str) -> None:
+def assert_safe(folder: Path, file: str) -> None:
     loaded = load(folder / file)
     if check(loaded):
         return
-    found = routes(loaded.model)
-    for path, rank in DECLARED.items():
+    table = routes(loaded.model)
+    for path, rank in DECLARED_RANKS.items():
         for target in (path, f"{path}/7?page=4", f"{path}?x"):
-            route = found.find(target.encode())
+            route = table.find(target.encode())
             assert route is None or RANKS[route.kind.effect] <= rank
             if route is not None and route.kind.effect is not Effect.IDEMPOTENT:
                 assert b"GET" not in route.methods
@@ -65,41 +72,43 @@
 
 @settings(deadline=None, max_examples=300)
 @given(
-    st.sampled_from(sorted(GOOD)),
+    st.sampled_from(sorted(GOOD_FILES)),
     st.lists(_CLASS, min_size=1, max_size=3),
     _DEFAULTS,
     st.booleans(),
 )
-def test_classes_that_are_changed_anywhere(file: str, classes: list[str], defaults: str, apart: bool) -> None:
+def test_changed_classes_and_defaults(file: str, classes: list[str], defaults: str, separate: bool) -> None:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         changed = defaults + "".join(classes)
-        files = {**GOOD, "changed.toml": changed, "app.toml": f'include = ["{file}", "changed.toml"]\n'}
-        if not apart:
+        files = {**GOOD_FILES, "changed.toml": changed, "app.toml": f'include = ["{file}", "changed.toml"]\n'}
+        if not separate:
             files["app.toml"] = f'include = ["{file}"]\n{changed}'
-        lay(folder, files)
-        holds(folder, "app.toml")
+        write_files(folder, files)
+        assert_safe(folder, "app.toml")
 
 
 @settings(deadline=None, max_examples=300)
-@given(st.sampled_from(sorted(GOOD)), st.data())
-def test_lines_that_are_lost_doubled_moved_or_spoilt(file: str, data: st.DataObject) -> None:
-    lines = GOOD[file].split("\n")
+@given(st.sampled_from(sorted(GOOD_FILES)), st.data())
+def test_deleted_duplicated_moved_and_corrupted_lines(file: str, data: st.DataObject) -> None:
+    lines = GOOD_FILES[file].split("\n")
     for _ in range(data.draw(st.integers(1, 3))):
-        at = data.draw(st.integers(0, len(lines) - 1))
-        to = data.draw(st.integers(0, len(lines) - 1))
-        kind = data.draw(st.sampled_from(["lose", "double", "move", "spoil"]))
-        line = lines[at]
-        if kind == "lose" and len(lines) > 1:
-            del lines[at]
-        elif kind == "double":
-            lines.insert(to, line)
-        elif kind == "move":
-            lines.insert(to, lines.pop(at))
+        source = data.draw(st.integers(0, len(lines) - 1))
+        target = data.draw(st.integers(0, len(lines) - 1))
+        mutation = data.draw(st.sampled_from(["lose", "double", "move", "spoil"]))
+        line = lines[source]
+        if mutation == "delete" and len(lines) > 1:
+            del lines[source]
+        elif mutation == "duplicate":
+            lines.insert(target, line)
+        elif mutation == "move":
+            lines.insert(target, lines.pop(source))
         elif line:
-            place = data.draw(st.integers(0, len(line) - 1))
-            lines[at] = line[:place] + data.draw(st.sampled_from(list('"[]=.#{}-x0 \0é'))) + line[place + 1 :]
+            index = data.draw(st.integers(0, len(line) - 1))
+            lines[source] = (
+                line[:index] + data.draw(st.sampled_from(list('"[]=.#{}-x0 \0é'))) + line[index + 1 :]
+            )
     with tempfile.TemporaryDirectory() as name:
-        lay(Path(name), {**GOOD, file: "\n".join(lines)})
-        for other in GOOD:
-            holds(Path(name), other)
+        write_files(Path(name), {**GOOD_FILES, file: "\n".join(lines)})
+        for other in GOOD_FILES:
+            assert_safe(Path(name), other)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -20,70 +20,70 @@
 from whinrouter.interface import MS, Action, Effect, Event, RequestClass, Server, Settings
 from whinrouter.net.frontend import Frontend
 from whinrouter.net.gateway import Gateway
-from whinrouter.net.hosts import HostList, Member, number
-from whinrouter.net.http import Message, RequestReader, ResponseReader, write_answer
-from whinrouter.net.priority_selector import Door
-from whinrouter.net.upstream import Upstream
+from whinrouter.net.hosts import HostList, Member, hashed_server_id
+from whinrouter.net.http import Message, RequestReader, ResponseReader, serialize_answer
+from whinrouter.net.priority_selector import PrioritySelector
+from whinrouter.net.upstream import ConnectionPool
 from whinrouter.streaming.flow import Flow
 
 READ = RequestClass("page-read", 400 * MS, 15_000 * MS, Effect.IDEMPOTENT, worth=3)
 BUY = RequestClass("chapter-buy", 400 * MS, 20_000 * MS, worth=8)
 SETTINGS = Settings((READ, BUY), max_attempts=5, may_hedge=True, may_cancel=True)
-GENEROUS = 30.0  # seconds that a condition may take on a slow machine
+TEST_TIMEOUT_SECONDS = 30.0  # seconds that a condition may take on a slow machine
 
-_IDS = itertools.count()  # an id may be open once at a time
+_REQUEST_IDS = itertools.count()  # an id may be open once at a time
 
 Script = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
-def scenario(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+def async_test(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
     """Run an async test in a loop of its own, for a generous time at most."""
 
     @functools.wraps(test)
     def run(*args: object, **kwargs: object) -> None:
-        asyncio.run(asyncio.wait_for(test(*args, **kwargs), 2 * GENEROUS))
+        asyncio.run(asyncio.wait_for(test(*args, **kwargs), 2 * TEST_TIMEOUT_SECONDS))
 
     return run
 
 
-def sources_only(target: object) -> None:
+def skip_if_compiled(target: object) -> None:
     """Skip a test that puts other functions into what is compiled: there the calls go past them."""
     module = target if isinstance(target, ModuleType) else sys.modules[type(target).__module__]
     if not str(module.__file__).endswith(".py"):
         pytest.skip(f"{module.__name__} is compiled: its functions stay")
 
 
-def change(target: object, method: str, other: Callable[..., Any]) -> None:
+def replace_method(target: object, method: str, other: Callable[..., Any]) -> None:
     """Put another method into one object."""
-    sources_only(target)
+    skip_if_compiled(target)
     setattr(target, method, other)
 
 
-async def until(condition: Callable[[], object]) -> None:
-    async with asyncio.timeout(GENEROUS):
+async def wait_until(condition: Callable[[], object]) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.005)
 
 
-def says(status: int = 200, body: bytes = b"page", **headers: str) -> Script:
+def answers_with(status: int = 200, body: bytes = b"page", **headers: str) -> Script:
     """A host that answers so; an underscore in a header's name stands for a dash."""
     pairs = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(write_answer(status, pairs, body, close=False))
+        writer.write(serialize_answer(status, pairs, body, closes=False))
 
     return script
 
 
-async def silent(request: Message, writer: asyncio.StreamWriter) -> None:
+async def never_answers(request: Message, writer: asyncio.StreamWriter) -> None:
     """Takes a request and never answers."""
 
 
-async def resets(request: Message, writer: asyncio.StreamWriter) -> None:
-    reset(writer)
+async def resets_connection(request: Message, writer: asyncio.StreamWriter) -> None:
+    reset_connection(writer)
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
@@ -93,53 +93,55 @@
 
     def __init__(self) -> None:
         self._request: Message | None = None  # of which the rest is to come
-        self._parts: list[bytes] = []
+        self._pieces: list[bytes] = []
         self._is_whole = False
 
     def flow(self, length: int | None) -> Flow:
         return Flow(self, length, 0.0, 0.0, 0.0)
 
-    def whole(self, requests: list[Message]) -> list[Message]:
+    def complete_requests(self, requests: list[Message]) -> list[Message]:
         """The requests that are whole by now, of those that were given out."""
         found = []
         for request in requests:
-            if request.rest is None:
+            if request.body_flow is None:
                 found.append(request)
                 continue
-            self._request, self._parts, self._is_whole = request, [request.body], False
-            request.rest.attach(self, 0.0)
+            self._request, self._pieces, self._is_whole = request, [request.body], False
+            request.body_flow.attach(self, 0.0)
         if self._request is not None and self._is_whole:
-            self._request.body = b"".join(self._parts)
+            self._request.body = b"".join(self._pieces)
             found.append(self._request)
             self._request = None
         return found
 
-    def take(self, data: bytes) -> None:
-        self._parts.append(data)
+    def write_body(self, data: bytes) -> None:
+        self._pieces.append(data)
 
-    def took_all(self) -> None:
+    def finish_body(self) -> None:
         self._is_whole = True
 
-    def taken(self) -> int:
+    def bytes_delivered(self) -> int:
         return -1
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """It is read as it comes."""
 
-    go_on = unwanted = cut = hold
+    resume_reading = cancel_reading = abort_body = pause_reading
 
 
 @dataclass
-class Peer:
+class ScriptedServer:
     """A server that hands each whole request to its script."""
 
     script: Script
     name: str = "s-1"
     requests: list[Message] = field(default_factory=list)
-    askers: list[asyncio.StreamWriter] = field(default_factory=list)  # the connection of each request
+    request_writers: list[asyncio.StreamWriter] = field(
+        default_factory=list
+    )  # the connection of each request
     connections: int = 0
-    taken: int = 0  # bytes, be they a whole request or not
-    closed: int = 0
+    received_bytes: int = 0  # bytes, be they a whole request or not
+    closed_connections: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
     _server: asyncio.Server | None = None
@@ -155,15 +157,15 @@
         parser = RequestReader(body.flow)
         try:
             while data := await reader.read(65536):
-                self.taken += len(data)
-                for request in body.whole(parser.feed(data)):
+                self.received_bytes += len(data)
+                for request in body.complete_requests(parser.feed(data)):
                     self.requests.append(request)
-                    self.askers.append(writer)
+                    self.request_writers.append(writer)
                     await self.script(request, writer)
         except ConnectionError:
             pass
         finally:
-            self.closed += 1
+            self.closed_connections += 1
             writer.close()
 
     def stop(self) -> None:
@@ -173,9 +175,9 @@
             writer.transport.abort()
 
     def member(self, **fields: Any) -> Member:
-        return Member(Server(number(self.name), **fields), ("127.0.0.1", self.port))
+        return Member(Server(hashed_server_id(self.name), **fields), ("127.0.0.1", self.port))
 
-    def entry(self, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
+    def discovery_entry(self, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
         """This host in discovery's form."""
         return {
             "id": self.name,
@@ -191,8 +193,8 @@
 
 
 @asynccontextmanager
-async def peers(*scripts: Script) -> AsyncIterator[list[Peer]]:
-    started = [Peer(script, f"s-{place}") for place, script in enumerate(scripts)]
+async def scripted_servers(*scripts: Script) -> AsyncIterator[list[ScriptedServer]]:
+    started = [ScriptedServer(script, f"s-{place}") for place, script in enumerate(scripts)]
     for peer in started:
         await peer.start()
     try:
@@ -208,7 +210,7 @@
     method = "GET" if class_name == "page-read" else "POST"
     told = {
         "Host": "api.internal",
-        "X-Request-Id": f"9b1f{next(_IDS):04x}",
+        "X-Request-Id": f"9b1f{next(_REQUEST_IDS):04x}",
         "X-Class": class_name,
         "X-Deadline": "10.0",
     }
@@ -233,9 +235,9 @@
     async def connect(cls, port: int) -> Client:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    async def answer(self) -> Message:
+    async def read_answer(self) -> Message:
         """The next answer; ConnectionError if the connection ends without one."""
-        async with asyncio.timeout(GENEROUS):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while data := await self._reader.read(65536):
                 answers = self._parser.feed(data)
                 assert self._parser.error is None
@@ -244,22 +246,22 @@
                     return answers[0]
         raise ConnectionError("no answer")
 
-    async def ask(
+    async def fetch(
         self, class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
     ) -> Message:
         self.writer.write(request_text(class_name, headers, body))
-        return await self.answer()
+        return await self.read_answer()
 
-    async def rest(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """All that still comes, once the gateway has closed."""
-        async with asyncio.timeout(GENEROUS):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             return await self._reader.read()
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
-async def ask_and_never_read(client: Client, host: Peer) -> None:
+async def send_without_reading(client: Client, host: ScriptedServer) -> None:
     """Ask until the gateway takes no more in."""
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for sent in range(1000):
@@ -271,9 +273,9 @@
 
 
 @dataclass
-class Running:
+class RunningGateway:
     gateway: Gateway
-    upstream: Upstream
+    upstream: ConnectionPool
     frontend: Frontend
     balancer: Balancer
     port: int
@@ -281,39 +283,39 @@
     async def client(self) -> Client:
         return await Client.connect(self.port)
 
-    async def ask(self, class_name: str = "page-read", headers: Mapping[str, str] | None = None) -> Message:
+    async def fetch(self, class_name: str = "page-read", headers: Mapping[str, str] | None = None) -> Message:
         client = await self.client()
         try:
-            return await client.ask(class_name, headers)
+            return await client.fetch(class_name, headers)
         finally:
             client.close()
 
 
 @asynccontextmanager
-async def running(
+async def running_gateway(
     *members: Member,
     settings: Settings = SETTINGS,
     idle_time: float = 60.0,
-    limit: int = 100,
-    door: Door | None = None,
+    max_connections: int = 100,
+    selector: PrioritySelector | None = None,
     attempt_time: int = 0,
-) -> AsyncIterator[Running]:
+) -> AsyncIterator[RunningGateway]:
     """A gateway in this loop, on a free port, with these hosts on its list."""
-    upstream = Upstream(1.0, idle_time, limit)
+    upstream = ConnectionPool(1.0, idle_time, max_connections)
     balancer = Balancer(settings, seed=1)
     gateway = Gateway(balancer, upstream, attempt_time)
     if members:
-        gateway.list_hosts(HostList(1, True, members))
-    frontend = Frontend(gateway, settings, limit, door)
+        gateway.update_hosts(HostList(1, True, members))
+    frontend = Frontend(gateway, settings, max_connections, selector)
     port = await frontend.listen("127.0.0.1", 0)
     try:
-        yield Running(gateway, upstream, frontend, balancer, port)
+        yield RunningGateway(gateway, upstream, frontend, balancer, port)
         assert gateway.guards.violations.summary() == "none"
     finally:
         frontend.close()
 
 
-def record(proxy: Running) -> list[Event]:
+def record_events(proxy: RunningGateway) -> list[Event]:
     """What the module is told from now on."""
     events: list[Event] = []
     handle = proxy.balancer.handle
@@ -322,9 +324,9 @@
         events.append(event)
         return handle(event, now)
 
-    change(proxy.balancer, "handle", recorded)
+    replace_method(proxy.balancer, "handle", recorded)
     return events
 
 
-def listing(*members: Member, complete: bool = True, revision: int = 2) -> HostList:
+def make_host_list(*members: Member, complete: bool = True, revision: int = 2) -> HostList:
     return HostList(revision, complete, members)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -6,11 +6,11 @@
 from collections.abc import AsyncIterator, Mapping
 from contextlib import asynccontextmanager
 
-from tests.peers import GENEROUS
+from tests.peers import TEST_TIMEOUT_SECONDS
 
 
 @asynccontextmanager
-async def started(
+async def running_process(
     *command: str, environment: Mapping[str, str] | None = None, pass_fds: tuple[int, ...] = ()
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """A program whose log is read by the test; killed at the end, if it still runs."""
@@ -25,11 +25,11 @@
         await process.wait()
 
 
-async def logged(process: asyncio.subprocess.Process, words: str) -> str:
+async def wait_for_log(process: asyncio.subprocess.Process, text: str) -> str:
     """The next line of its log with these words."""
     assert process.stderr is not None
-    async with asyncio.timeout(GENEROUS):
-        while text := (await process.stderr.readline()).decode():
-            if words in text:
-                return text
-    raise AssertionError(f"it ended and did not say {words!r}")
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+        while line := (await process.stderr.readline()).decode():
+            if text in line:
+                return line
+    raise AssertionError(f"it ended and did not say {text!r}")
