--- a/tests/streaming/test_bodies.py
+++ b/tests/streaming/test_bodies.py
@@ -11,7 +11,15 @@
 
 import pytest
 
-from tests.peers import GENEROUS, Running, request_text, reset, running, scenario, until
+from tests.peers import (
+    TEST_TIMEOUT_SECONDS,
+    RunningGateway,
+    async_test,
+    request_text,
+    reset_connection,
+    running_gateway,
+    wait_until,
+)
 from whinrouter.interface import Server
 from whinrouter.net.hosts import Member
 from whinrouter.streaming import flow
@@ -45,7 +53,9 @@
 
 
 @asynccontextmanager
-async def between(*scripts: Callable[[Host, Read, Write, int], Awaitable[None]]) -> AsyncIterator[Scene]:
+async def gateway_with_hosts(
+    *scripts: Callable[[Host, Read, Write, int], Awaitable[None]],
+) -> AsyncIterator[Scene]:
     hosts = [Host(script) for script in scripts]
     servers = []
     for host in hosts:
@@ -53,7 +63,7 @@
         host.port = server.sockets[0].getsockname()[1]
         servers.append(server)
     try:
-        async with running(*(host.member() for host in hosts)) as proxy:
+        async with running_gateway(*(host.member() for host in hosts)) as proxy:
             yield Scene(proxy, hosts)
     finally:
         for server in servers:
@@ -62,7 +72,7 @@
 
 @dataclass
 class Scene:
-    proxy: Running
+    proxy: RunningGateway
     hosts: list[Host]
 
 
@@ -70,7 +80,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%b\r\n" % (length, more)
 
 
-async def gives(host: Host, reader: Read, writer: Write, length: int) -> None:
+async def sends_large_answer(host: Host, reader: Read, writer: Write, length: int) -> None:
     """Answers with 32 MB."""
     writer.write(head(SIZE))
     for _ in range(SIZE // len(PIECE)):
@@ -78,7 +88,7 @@
         await writer.drain()
 
 
-async def takes(host: Host, reader: Read, writer: Write, length: int) -> None:
+async def reads_upload(host: Host, reader: Read, writer: Write, length: int) -> None:
     """Reads the whole request and answers with its digest."""
     digest = hashlib.sha256()
     while length:
@@ -97,14 +107,14 @@
 
 
 async def read_body(reader: Read, left: int = SIZE) -> None:
-    async with asyncio.timeout(2 * GENEROUS):
+    async with asyncio.timeout(2 * TEST_TIMEOUT_SECONDS):
         while left:
             data = await reader.readexactly(min(left, len(PIECE)))
             assert data == PIECE[: len(data)]
             left -= len(data)
 
 
-def order(length: int = SIZE, *more: str) -> bytes:
+def upload_head(length: int = SIZE, *more: str) -> bytes:
     """The head of a purchase with a body of this length."""
     return request_text("chapter-buy", {"Content-Length": ""}).replace(
         b"Content-Length: 0", b"Content-Length: %d" % length
@@ -118,59 +128,59 @@
 
 
 async def status(reader: Read) -> int:
-    async with asyncio.timeout(GENEROUS):
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         return int((await reader.readuntil(b"\r\n\r\n")).split(b" ", 2)[1])
 
 
-@scenario
-async def test_a_client_that_stops_reading_holds_its_host_and_nobody_else() -> None:
+@async_test
+async def test_client_that_stops_reading_pauses_only_its_host() -> None:
     """And when it goes on, it gets all, though the request's time is long over; the connection serves on."""
     written = [0]
 
-    async def counted(host: Host, reader: Read, writer: Write, length: int) -> None:
+    async def count_written(host: Host, reader: Read, writer: Write, length: int) -> None:
         writer.write(head(SIZE))
         for _ in range(SIZE // len(PIECE)):
             writer.write(PIECE)
             await writer.drain()
             written[0] += len(PIECE)
 
-    async with between(counted) as scene:
+    async with gateway_with_hosts(count_written) as scene:
         reader, writer = await open_client(scene)
         writer.write(request_text(headers={"X-Deadline": "0.3"}))
         assert await status(reader) == 200
         reader._transport.pause_reading()  # type: ignore[attr-defined]
-        seen = -1
-        while seen != written[0]:  # until the host is held
-            seen = written[0]
+        last_written = -1
+        while last_written != written[0]:  # until the host is held
+            last_written = written[0]
             await asyncio.sleep(0.4)
         assert written[0] < SIZE
         other, asker = await open_client(scene)
-        scene.hosts[0].script = takes
+        scene.hosts[0].script = reads_upload
         asker.write(request_text())
         assert await status(other) == 200
         scene.proxy.frontend.presence.leave(0.0)
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         await read_body(reader)
-        await until(lambda: not scene.proxy.frontend.streaming)
+        await wait_until(lambda: not scene.proxy.frontend.streaming_connections)
 
 
 @pytest.mark.parametrize("how", ["short", "reset", "noise", "up to the end"])
-@scenario
-async def test_how_an_answer_ends_is_what_its_client_sees(how: str) -> None:
+@async_test
+async def test_client_sees_how_the_host_ended_its_answer(how: str) -> None:
     async def script(host: Host, reader: Read, writer: Write, length: int) -> None:
         writer.write(head(SIZE) if how != "up to the end" else b"HTTP/1.1 200 OK\r\n\r\n")
         for _ in range((SIZE // 2 if how in ("short", "reset") else SIZE) // len(PIECE)):
             writer.write(PIECE)
             await writer.drain()
-        if how == "noise":
+        if how == "surplus":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad")
         elif how == "reset":
-            reset(writer)
-        if how != "noise":
+            reset_connection(writer)
+        if how != "surplus":
             writer.close()
             raise ConnectionError
 
-    async with between(script) as scene:
+    async with gateway_with_hosts(script) as scene:
         reader, writer = await open_client(scene)
         writer.write(request_text())
         answer = await reader.readuntil(b"\r\n\r\n")
@@ -181,14 +191,14 @@
         if how == "up to the end":
             assert b"transfer-encoding: chunked" in answer
             data = bytearray()
-            async with asyncio.timeout(GENEROUS):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while (size := int(await reader.readline(), 16)) > 0:
                     data += await reader.readexactly(size)
                     await reader.readexactly(2)
             assert len(data) == SIZE
         else:
             await read_body(reader)
-        scene.hosts[0].script = takes
+        scene.hosts[0].script = reads_upload
         await reader.read(0)
         again, asker = await open_client(scene)
         asker.write(request_text())
@@ -196,8 +206,8 @@
         assert scene.proxy.upstream.connections <= 2
 
 
-@scenario
-async def test_an_old_client_can_tell_that_an_answer_broke() -> None:
+@async_test
+async def test_broken_answer_to_an_http_1_0_client_is_reset() -> None:
     async def script(host: Host, reader: Read, writer: Write, length: int) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for _ in range(8):
@@ -206,19 +216,19 @@
         await asyncio.sleep(0.2)
         raise ConnectionError
 
-    async with between(script) as scene:
+    async with gateway_with_hosts(script) as scene:
         reader, writer = await open_client(scene)
         writer.write(request_text().replace(b"HTTP/1.1", b"HTTP/1.0", 1))
         assert await status(reader) == 200
         with pytest.raises(ConnectionError):  # a reset: a clean end would say that this was all
-            await asyncio.wait_for(reader.read(), GENEROUS)
+            await asyncio.wait_for(reader.read(), TEST_TIMEOUT_SECONDS)
 
 
-@scenario
-async def test_a_large_order_runs_once_and_is_what_was_sent() -> None:
-    async with between(takes, takes) as scene:
+@async_test
+async def test_large_upload_runs_once_and_arrives_unchanged() -> None:
+    async with gateway_with_hosts(reads_upload, reads_upload) as scene:
         reader, writer = await open_client(scene)
-        writer.write(order())
+        writer.write(upload_head())
         await send(writer, SIZE)
         assert await status(reader) == 200
         sent = hashlib.sha256(PIECE * (SIZE // len(PIECE))).hexdigest().encode()
@@ -239,8 +249,8 @@
         (SIZE // 2, head(2) + b"ok", {200}, 0),
     ],
 )
-@scenario
-async def test_a_host_that_ends_an_order_out_of_turn(
+@async_test
+async def test_host_that_ends_an_upload_early(
     read: int, answer: bytes | None, expected: set[int], ran: int
 ) -> None:
     async def script(host: Host, reader: Read, writer: Write, length: int) -> None:
@@ -251,32 +261,32 @@
         if answer is not None:
             writer.write(answer)
             await writer.drain()
-            await asyncio.sleep(GENEROUS)
-        reset(writer)
+            await asyncio.sleep(TEST_TIMEOUT_SECONDS)
+        reset_connection(writer)
         raise ConnectionError
 
-    async with between(script) as scene:
+    async with gateway_with_hosts(script) as scene:
         reader, writer = await open_client(scene)
-        writer.write(order())
+        writer.write(upload_head())
         sending = asyncio.create_task(send(writer, SIZE))
         assert await status(reader) in expected
         with contextlib.suppress(ConnectionError):
             await sending
         assert scene.hosts[0].ran == ran
         assert len(scene.hosts[0].heads) == 1
-        await until(lambda: not scene.proxy.frontend.open_ids)
+        await wait_until(lambda: not scene.proxy.frontend.active_request_ids)
 
 
-@scenario
-async def test_an_order_goes_to_another_host_while_all_of_it_is_here() -> None:
+@async_test
+async def test_upload_is_retried_while_it_is_wholly_buffered() -> None:
     """The first host refuses the connection: not one byte of the body was given to it."""
-    async with between(takes, takes) as scene:
+    async with gateway_with_hosts(reads_upload, reads_upload) as scene:
         for host in scene.hosts[:1]:
-            gone = Member(Server(host.port), ("127.0.0.1", 1))
-        scene.proxy.upstream.update([gone, scene.hosts[1].member()], True)
+            unreachable = Member(Server(host.port), ("127.0.0.1", 1))
+        scene.proxy.upstream.update([unreachable, scene.hosts[1].member()], True)
         for _ in range(6):
             reader, writer = await open_client(scene)
-            writer.write(order(1024 * 1024))
+            writer.write(upload_head(1024 * 1024))
             await send(writer, 1024 * 1024)
             assert await status(reader) == 200
             writer.close()
@@ -284,55 +294,55 @@
 
 
 @pytest.mark.parametrize("sent", [0, SIZE // 2, SIZE - len(PIECE)])
-@scenario
-async def test_a_client_that_leaves_in_its_order_has_nothing_run(sent: int) -> None:
-    async with between(takes) as scene:
+@async_test
+async def test_upload_of_a_client_that_left_does_not_run(sent: int) -> None:
+    async with gateway_with_hosts(reads_upload) as scene:
         _, writer = await open_client(scene)
-        writer.write(order())
+        writer.write(upload_head())
         await send(writer, sent)
-        await until(lambda: scene.hosts[0].heads)
+        await wait_until(lambda: scene.hosts[0].heads)
         writer.transport.abort()
-        await until(lambda: not scene.proxy.frontend.connections)
-        await until(lambda: not scene.proxy.upstream.connections)
+        await wait_until(lambda: not scene.proxy.frontend.connections)
+        await wait_until(lambda: not scene.proxy.upstream.connections)
         assert scene.hosts[0].ran == 0
 
 
-@scenario
-async def test_a_client_that_leaves_in_an_answer_ends_its_host_s_work() -> None:
-    async with between(gives) as scene:
+@async_test
+async def test_client_that_leaves_closes_the_connection_of_its_streamed_answer() -> None:
+    async with gateway_with_hosts(sends_large_answer) as scene:
         reader, writer = await open_client(scene)
         writer.write(request_text())
         assert await status(reader) == 200
         writer.transport.abort()
-        await until(lambda: not scene.proxy.upstream.connections)
-        await until(lambda: not scene.proxy.gateway.holds)
+        await wait_until(lambda: not scene.proxy.upstream.connections)
+        await wait_until(lambda: not scene.proxy.gateway.unanswered_count)
 
 
-@scenario
-async def test_a_body_is_asked_on_only_when_a_host_was_found() -> None:
-    async with between(takes) as scene:
+@async_test
+async def test_100_continue_is_sent_only_once_a_host_was_found() -> None:
+    async with gateway_with_hosts(reads_upload) as scene:
         reader, writer = await open_client(scene)
-        writer.write(order(1024 * 1024).replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n"))
+        writer.write(upload_head(1024 * 1024).replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n"))
         assert await status(reader) == 100
         await send(writer, 1024 * 1024)
         assert await status(reader) == 200
         bad, asker = await open_client(scene)
         asker.write(
-            order(1024 * 1024)
+            upload_head(1024 * 1024)
             .replace(b"chapter-buy", b"nothing")
             .replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n")
         )
         assert await status(bad) == 400
 
 
-@scenario
-async def test_a_client_that_stalls_in_its_body_is_gone_and_a_slow_one_is_not() -> None:
+@async_test
+async def test_stalled_upload_times_out_and_a_slow_one_does_not() -> None:
     """The floor is a rate: 64 kB a second is served for as long as it takes."""
-    async with between(takes) as scene:
+    async with gateway_with_hosts(reads_upload) as scene:
         slow, writer = await open_client(scene)
         stalled, quiet = await open_client(scene)
-        writer.write(order(256 * 1024))
-        quiet.write(order(256 * 1024) + PIECE)
+        writer.write(upload_head(256 * 1024))
+        quiet.write(upload_head(256 * 1024) + PIECE)
 
         async def send_slowly() -> None:
             for _ in range(40):
@@ -347,23 +357,23 @@
         assert scene.hosts[0].ran == 1
 
 
-@scenario
-async def test_many_large_answers_take_bounded_memory() -> None:
+@async_test
+async def test_memory_of_many_unread_answers_is_bounded() -> None:
     """What is held of 64 answers whose clients read nothing."""
-    async with between(gives) as scene:
+    async with gateway_with_hosts(sends_large_answer) as scene:
         clients = [await open_client(scene) for _ in range(64)]
         for reader, writer in clients:
             reader._transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request_text())
-        await until(lambda: len(scene.proxy.frontend.streaming) >= 8)
+        await wait_until(lambda: len(scene.proxy.frontend.streaming_connections) >= 8)
         await asyncio.sleep(1.0)
-        for client in scene.proxy.frontend.streaming:
-            assert client.owed <= 256 * 1024
-            assert client._out is not None
-            assert client._out._size <= flow.MOST + 64 * 1024
+        for client in scene.proxy.frontend.streaming_connections:
+            assert client.unsent_bytes <= 256 * 1024
+            assert client._answer_flow is not None
+            assert client._answer_flow._buffered_bytes <= flow.MAX_BUFFERED_BYTES + 64 * 1024
         for _, writer in clients:
             writer.transport.abort()
-        await until(lambda: not scene.proxy.frontend.connections)
+        await wait_until(lambda: not scene.proxy.frontend.connections)
 
 
 @pytest.mark.parametrize(
@@ -375,18 +385,18 @@
     ],
     ids=["asks for leave", "sends on", "sends noise"],
 )
-@scenario
-async def test_an_order_refused_at_once_gets_one_answer_and_no_more(more: bytes, body: bytes) -> None:
+@async_test
+async def test_upload_refused_at_once_gets_exactly_one_answer(more: bytes, body: bytes) -> None:
     """There is no host; what the client still sends, be it good or not, causes nothing."""
-    async with between() as scene:
+    async with gateway_with_hosts() as scene:
         reader, writer = await open_client(scene)
-        text = order(1024 * 1024).replace(b"\r\n\r\n", more)
+        text = upload_head(1024 * 1024).replace(b"\r\n\r\n", more)
         if b"chunked" in more:
             text = text.replace(b"Content-Length: %d\r\n" % (1024 * 1024), b"")
         writer.write(text + body)
-        async with asyncio.timeout(GENEROUS):
-            said = await reader.readuntil(b"\r\n\r\n")
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
+            answer = await reader.readuntil(b"\r\n\r\n")
             with contextlib.suppress(ConnectionError):
-                said += await reader.read()
-        assert said.startswith(b"HTTP/1.1 503")
-        assert said.count(b"HTTP/1.1") == 1
+                answer += await reader.read()
+        assert answer.startswith(b"HTTP/1.1 503")
+        assert answer.count(b"HTTP/1.1") == 1
--- a/tests/streaming/test_remainder.py
+++ b/tests/streaming/test_remainder.py
@@ -6,48 +6,48 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from whinrouter.net.http import ResponseReader, chunk
+from whinrouter.net.http import ResponseReader, encode_chunk
 from whinrouter.streaming.flow import Flow
 from whinrouter.streaming.remainder import (
     BrokenRemainderError,
     Framing,
     Remainder,
     RemainderReader,
-    left_of_chunk,
+    chunk_bytes_left,
 )
 
 BODY = bytes(range(256)) * 300
 
 
 class _Source:
-    def hold(self) -> None: ...
-    def go_on(self) -> None: ...
-    def unwanted(self) -> None: ...
+    def pause_reading(self) -> None: ...
+    def resume_reading(self) -> None: ...
+    def cancel_reading(self) -> None: ...
 
 
 class _Sink:
     def __init__(self) -> None:
         self.data = b""
 
-    def take(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         self.data += data
 
-    def took_all(self) -> None: ...
-    def cut(self) -> None: ...
-    def taken(self) -> int:
+    def finish_body(self) -> None: ...
+    def abort_body(self) -> None: ...
+    def bytes_delivered(self) -> int:
         return -1
 
 
-def _text(framing: Framing, chunks: list[int]) -> bytes:
+def _encoded(framing: Framing, chunks: list[int]) -> bytes:
     if framing is Framing.LENGTH:
         return b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(BODY) + BODY
     if framing is Framing.CONNECTION_END:
         return b"HTTP/1.1 200 OK\r\n\r\n" + BODY
     text, place = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n", 0
     for size in chunks:
-        text += chunk(BODY[place : place + size]) if BODY[place : place + size] else b""
+        text += encode_chunk(BODY[place : place + size]) if BODY[place : place + size] else b""
         place += size
-    return text + (chunk(BODY[place:]) if BODY[place:] else b"") + b"0\r\n\r\n"
+    return text + (encode_chunk(BODY[place:]) if BODY[place:] else b"") + b"0\r\n\r\n"
 
 
 @given(
@@ -56,18 +56,20 @@
     st.lists(st.integers(1, 90_000), min_size=1, max_size=8),
 )
 @example(Framing.LENGTH, [], [75_842])  # the last read of the second is empty
-def test_two_readers_have_together_what_one_has(framing: Framing, chunks: list[int], cuts: list[int]) -> None:
+def test_two_readers_together_decode_the_whole_body(
+    framing: Framing, chunks: list[int], cuts: list[int]
+) -> None:
     """The first reads pieces until it can tell what is left; the second reads all else."""
-    text, sink = _text(framing, chunks), _Sink()
+    text, sink = _encoded(framing, chunks), _Sink()
     reader = ResponseReader(lambda length: Flow(_Source(), length, 0.0, 10.0, 0.0))
     place, remainder = 0, None
     for size in cuts:
         messages = reader.feed(text[place : place + size])
         place += size
         for message in messages:
-            if message.rest is not None:
+            if message.body_flow is not None:
                 sink.data += message.body
-                message.rest.attach(sink, 0.0)
+                message.body_flow.attach(sink, 0.0)
         remainder = reader.remainder()
         if remainder is not None:
             break
@@ -82,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "came", "left"),
+    ("before", "received", "left"),
     [
         (b"\r\n10\r\n", 4, 12),
         (b"x\r\n10;name=1\r\n", 4, 12),
@@ -93,11 +95,11 @@
         (b"", 4, None),
     ],
 )
-def test_a_chunk_tells_its_size_only_as_a_whole_line(before: bytes, came: int, left: int | None) -> None:
-    assert left_of_chunk(before, came) == left
+def test_chunk_size_needs_its_whole_line(before: bytes, received: int, left: int | None) -> None:
+    assert chunk_bytes_left(before, received) == left
 
 
-def test_what_is_no_rest_is_refused_and_what_comes_behind_is_noticed() -> None:
+def test_malformed_remainder_and_surplus_are_detected() -> None:
     with pytest.raises(BrokenRemainderError):
         RemainderReader(Remainder(Framing.CHUNKED, 2)).feed(b"abnonsense")
     reader = RemainderReader(Remainder(Framing.LENGTH, 2))
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -6,7 +6,14 @@
 
 import pytest
 
-from whinrouter.breaker import COOLDOWN, JITTER, MAX_COOLDOWN, THRESHOLD, WINDOW, Breaker
+from whinrouter.breaker import (
+    BASE_COOLDOWN,
+    COOLDOWN_JITTER,
+    FAILURE_THRESHOLD,
+    FAILURE_WINDOW,
+    MAX_COOLDOWN,
+    Breaker,
+)
 
 NOW = 1_000_000_000
 
@@ -16,12 +23,12 @@
     return Breaker(Random(1))
 
 
-def fail(breaker: Breaker, now: int, times: int = THRESHOLD) -> None:
+def fail_times(breaker: Breaker, now: int, times: int = FAILURE_THRESHOLD) -> None:
     for _ in range(times):
-        breaker.fail(now, trial=False)
+        breaker.record_failure(now, is_trial=False)
 
 
-def reopening(breaker: Breaker, now: int) -> int:
+def remaining_cooldown(breaker: Breaker, now: int) -> int:
     """How long an open breaker admits nothing from now on."""
     low, high = 0, 2 * MAX_COOLDOWN
     while low < high:
@@ -33,86 +40,94 @@
     return low
 
 
-def half_open(breaker: Breaker, now: int) -> int:
+def start_trial(breaker: Breaker, now: int) -> int:
     """Start the trial of an open breaker; return when."""
-    now += reopening(breaker, now)
-    assert breaker.start()
+    now += remaining_cooldown(breaker, now)
+    assert breaker.start_attempt()
     return now
 
 
-def test_closed_it_admits_below_the_threshold(breaker: Breaker) -> None:
-    fail(breaker, NOW, THRESHOLD - 1)
-    assert breaker.closed
+def test_a_closed_breaker_admits_below_the_threshold(breaker: Breaker) -> None:
+    fail_times(breaker, NOW, FAILURE_THRESHOLD - 1)
+    assert breaker.is_closed
     assert breaker.admits(NOW)
-    assert not breaker.start()
+    assert not breaker.start_attempt()
 
 
 def test_a_success_clears_the_failures(breaker: Breaker) -> None:
-    fail(breaker, NOW, THRESHOLD - 1)
-    breaker.succeed(trial=False)
-    fail(breaker, NOW, THRESHOLD - 1)
-    assert breaker.closed
+    fail_times(breaker, NOW, FAILURE_THRESHOLD - 1)
+    breaker.record_success(is_trial=False)
+    fail_times(breaker, NOW, FAILURE_THRESHOLD - 1)
+    assert breaker.is_closed
 
 
-def test_old_failures_age_out(breaker: Breaker) -> None:
-    fail(breaker, NOW, THRESHOLD - 1)
-    fail(breaker, NOW + WINDOW, 1)
-    assert breaker.closed
+def test_failures_older_than_the_window_are_dropped(breaker: Breaker) -> None:
+    fail_times(breaker, NOW, FAILURE_THRESHOLD - 1)
+    fail_times(breaker, NOW + FAILURE_WINDOW, 1)
+    assert breaker.is_closed
 
 
-def test_failures_at_the_threshold_open_it_for_a_jittered_cooldown(breaker: Breaker) -> None:
-    fail(breaker, NOW)
-    assert not breaker.closed
+def test_failures_at_the_threshold_open_the_breaker_for_a_jittered_cooldown(breaker: Breaker) -> None:
+    fail_times(breaker, NOW)
+    assert not breaker.is_closed
     assert not breaker.admits(NOW)
-    assert COOLDOWN * (1 - JITTER) <= reopening(breaker, NOW) <= COOLDOWN * (1 + JITTER)
+    assert (
+        BASE_COOLDOWN * (1 - COOLDOWN_JITTER)
+        <= remaining_cooldown(breaker, NOW)
+        <= BASE_COOLDOWN * (1 + COOLDOWN_JITTER)
+    )
 
 
 def test_cooldowns_differ_between_breakers() -> None:
     found = set()
     for seed in range(5):
         breaker = Breaker(Random(seed))
-        fail(breaker, NOW)
-        found.add(reopening(breaker, NOW))
+        fail_times(breaker, NOW)
+        found.add(remaining_cooldown(breaker, NOW))
     assert len(found) == 5
 
 
-def test_half_open_it_admits_a_single_trial(breaker: Breaker) -> None:
-    fail(breaker, NOW)
-    now = half_open(breaker, NOW)
+def test_a_half_open_breaker_admits_a_single_trial(breaker: Breaker) -> None:
+    fail_times(breaker, NOW)
+    now = start_trial(breaker, NOW)
     assert not breaker.admits(now + MAX_COOLDOWN)
 
 
-def test_a_good_trial_closes_it_and_restores_the_base_cooldown(breaker: Breaker) -> None:
-    fail(breaker, NOW)
-    now = half_open(breaker, NOW)
-    breaker.fail(now, trial=True)
-    now = half_open(breaker, now)
-    breaker.succeed(trial=True)
-    assert breaker.closed
-    fail(breaker, now)
-    assert reopening(breaker, now) <= COOLDOWN * (1 + JITTER)
+def test_a_successful_trial_closes_the_breaker_and_restores_the_base_cooldown(breaker: Breaker) -> None:
+    fail_times(breaker, NOW)
+    now = start_trial(breaker, NOW)
+    breaker.record_failure(now, is_trial=True)
+    now = start_trial(breaker, now)
+    breaker.record_success(is_trial=True)
+    assert breaker.is_closed
+    fail_times(breaker, now)
+    assert remaining_cooldown(breaker, now) <= BASE_COOLDOWN * (1 + COOLDOWN_JITTER)
 
 
 def test_failed_trials_double_the_cooldown_up_to_the_cap(breaker: Breaker) -> None:
-    fail(breaker, NOW)
-    now, expected = NOW, COOLDOWN
+    fail_times(breaker, NOW)
+    now, expected = NOW, BASE_COOLDOWN
     for _ in range(12):
-        now = half_open(breaker, now)
-        breaker.fail(now, trial=True)
+        now = start_trial(breaker, now)
+        breaker.record_failure(now, is_trial=True)
         expected = min(2 * expected, MAX_COOLDOWN)
-        assert expected * (1 - JITTER) <= reopening(breaker, now) <= expected * (1 + JITTER)
-
-
-def test_a_trial_given_up_frees_the_slot_without_a_verdict(breaker: Breaker) -> None:
-    fail(breaker, NOW)
-    now = half_open(breaker, NOW)
-    breaker.abandon()
-    assert not breaker.closed
+        assert (
+            expected * (1 - COOLDOWN_JITTER)
+            <= remaining_cooldown(breaker, now)
+            <= expected * (1 + COOLDOWN_JITTER)
+        )
+
+
+def test_an_abandoned_trial_frees_the_slot_and_leaves_the_breaker_open(breaker: Breaker) -> None:
+    fail_times(breaker, NOW)
+    now = start_trial(breaker, NOW)
+    breaker.abandon_trial()
+    assert not breaker.is_closed
     assert breaker.admits(now)
 
 
-def test_an_open_breaker_passes_over_late_failures_of_earlier_attempts(breaker: Breaker) -> None:
-    fail(breaker, NOW)
-    before = reopening(breaker, NOW)
-    fail(breaker, NOW + 1)
-    assert reopening(breaker, NOW) == before
+def test_an_open_breaker_ignores_late_failures_of_earlier_attempts(breaker: Breaker) -> None:
+    fail_times(breaker, NOW)
+    before = remaining_cooldown(breaker, NOW)
+    fail_times(breaker, NOW + 1)
+    assert remaining_cooldown(breaker, NOW) == before
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,20 +9,28 @@
 
 import pytest
 
-from tests.control.test_calls import ask, operated
-from tests.peers import Client, Peer, peers, reset, says, scenario, until
+from tests.control.test_calls import control_call, running_with_control
+from tests.peers import (
+    Client,
+    ScriptedServer,
+    answers_with,
+    async_test,
+    reset_connection,
+    scripted_servers,
+    wait_until,
+)
 from tests.test_discovery import HEAD, chunk, line
-from tests.test_program import is_up, told
+from tests.test_program import platform_config, up_status
 from whinrouter.net.http import Message
-from whinrouter.program import RESERVED
+from whinrouter.program import RESERVED_DESCRIPTORS
 
 DESCRIPTORS = 128
-FOR_HOSTS = (DESCRIPTORS - RESERVED) // 2  # held back for connections to hosts
+FOR_HOSTS = (DESCRIPTORS - RESERVED_DESCRIPTORS) // 2  # held back for connections to hosts
 CROWD = 3 * DESCRIPTORS
 
 
 @pytest.mark.parametrize("sends", [b"", b"GET /page-read HTTP/1.1\r\nX-Request"])
-@scenario
+@async_test
 async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(
     tmp_path: Path, sends: bytes
 ) -> None:
@@ -31,30 +39,32 @@
 
     async def discovery(request: Message, writer: asyncio.StreamWriter) -> None:
         if down:
-            reset(writer)
+            reset_connection(writer)
         else:
-            writer.write(HEAD + chunk(line(42, host.entry())))
+            writer.write(HEAD + chunk(line(42, host.discovery_entry())))
 
-    async with peers(says(), discovery) as (host, service):
-        config = told(service.port, limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS})
-        async with operated(tmp_path, config) as (process, port, control):
+    async with scripted_servers(answers_with(), discovery) as (host, service):
+        config = platform_config(
+            service.port, limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS}
+        )
+        async with running_with_control(tmp_path, config) as (process, port, control):
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
             stop = asyncio.Event()
             crowd = asyncio.create_task(_crowd(port, sends, process.pid, stop))
-            await until(lambda: len(service.requests) > 3)
-            assert (await ask(control, "HEALTH")).startswith(("+OK", "-ERR"))
+            await wait_until(lambda: len(service.requests) > 3)
+            assert (await control_call(control, "HEALTH")).startswith(("+OK", "-ERR"))
             down = False
-            await until(lambda: _watched(service))
-            while await is_up(port) != 200:
+            await wait_until(lambda: _watched(service))
+            while await up_status(port) != 200:
                 await asyncio.sleep(0.01)
             client = await Client.connect(port)
-            assert (await client.ask()).status == 200
-            assert (await ask(control, "HEALTH")).startswith("+OK")
+            assert (await client.fetch()).status == 200
+            assert (await control_call(control, "HEALTH")).startswith("+OK")
             stop.set()
             assert await crowd <= DESCRIPTORS - FOR_HOSTS
 
 
-def _watched(service: Peer) -> bool:
+def _watched(service: ScriptedServer) -> bool:
     return any(not writer.is_closing() for writer in service.writers)
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,16 +11,18 @@
 import orjson
 import pytest
 
-from tests.peers import GENEROUS, Peer, peers, scenario, until
+from tests.peers import TEST_TIMEOUT_SECONDS, ScriptedServer, async_test, scripted_servers, wait_until
 from whinrouter.interface import MS, State
-from whinrouter.membership.retry_policy import IN_LINE, PUSHED, Patience
+from whinrouter.membership.retry_policy import LOCAL_AGENT_POLICY, QUEUED_SECONDS, RetryPolicy
 from whinrouter.net import discovery
-from whinrouter.net.discovery import Discovery, read_list
-from whinrouter.net.hosts import HostList, number
+from whinrouter.net.discovery import Discovery, parse_list
+from whinrouter.net.hosts import HostList, hashed_server_id
 from whinrouter.net.http import Message
-from whinrouter.net.sockets import poller
+from whinrouter.net.sockets import read_poller
 
-QUICK = Patience((0.1, 0.1), connect=1.0, first=0.1, least_pause=0.01, most_pause=0.02)
+QUICK = RetryPolicy(
+    (0.1, 0.1), connect_timeout=1.0, first_line_timeout=0.1, min_backoff=0.01, max_backoff=0.02
+)
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -34,10 +36,10 @@
 
 @asynccontextmanager
 async def watching(
-    service: Peer, revision: int = 0, patience: Patience = PUSHED
+    service: ScriptedServer, revision: int = 0, retry_policy: RetryPolicy = LOCAL_AGENT_POLICY
 ) -> AsyncIterator[list[HostList]]:
     lists: list[HostList] = []
-    watch = Discovery(("127.0.0.1", service.port), revision, lists.append, patience)
+    watch = Discovery(("127.0.0.1", service.port), revision, lists.append, retry_policy)
     watch.start()
     try:
         yield lists
@@ -45,15 +47,15 @@
         watch.stop()
 
 
-async def _says_nothing(request: Message, writer: asyncio.StreamWriter) -> None:
+async def _stays_silent(request: Message, writer: asyncio.StreamWriter) -> None:
     writer.write(HEAD)
 
 
-@scenario
-async def test_a_line_in_pieces_is_read_as_it_comes() -> None:
-    async with peers(_says_nothing) as (service,), watching(service) as lists:
-        await until(lambda: service.requests)
-        text = line(41, service.entry())
+@async_test
+async def test_line_that_arrives_in_pieces() -> None:
+    async with scripted_servers(_stays_silent) as (service,), watching(service) as lists:
+        await wait_until(lambda: service.requests)
+        text = line(41, service.discovery_entry())
         writer = service.writers[0]
         for part in (text[:20], text[20:-1]):
             writer.write(chunk(part))
@@ -61,51 +63,51 @@
             await asyncio.sleep(0.02)
         assert not lists
         writer.write(chunk(b"\n\n"))
-        await until(lambda: lists)
+        await wait_until(lambda: lists)
         assert (lists[0].revision, lists[0].complete, len(lists[0].members)) == (41, True, 1)
 
 
-@scenario
-async def test_a_list_that_is_laid_out_over_many_lines_is_one_list() -> None:
+@async_test
+async def test_list_over_many_lines_is_one_list() -> None:
     """Also behind one on a line, with empty lines between, and cut anywhere on its way."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
-        whole = orjson.loads(line(43, service.entry("Terminating")))
+        whole = orjson.loads(line(43, service.discovery_entry("Terminating")))
         text = json.dumps(whole, indent=2).encode() + b"\n"
-        writer.write(HEAD + chunk(line(42, service.entry())) + chunk(b"\n"))
+        writer.write(HEAD + chunk(line(42, service.discovery_entry())) + chunk(b"\n"))
         for place in range(0, len(text), 7):
             writer.write(chunk(text[place : place + 7]))
 
-    async with peers(script) as (service,), watching(service) as lists:
-        await until(lambda: len(lists) > 1)
-        assert [told.revision for told in lists] == [42, 43]
+    async with scripted_servers(script) as (service,), watching(service) as lists:
+        await wait_until(lambda: len(lists) > 1)
+        assert [host_list.revision for host_list in lists] == [42, 43]
         assert lists[1].members[0].server.state is State.DRAINING
         assert len(service.requests) == 1
 
 
-@scenario
-async def test_a_watch_that_ends_is_resumed_from_the_last_revision() -> None:
-    async def ends(request: Message, writer: asyncio.StreamWriter) -> None:
+@async_test
+async def test_ended_watch_is_resumed_from_the_last_revision() -> None:
+    async def end_after_one_list(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(line(43)) + b"0\r\n\r\n")
 
-    async with peers(ends) as (service,), watching(service, 41):
-        await until(lambda: len(service.requests) > 1)
+    async with scripted_servers(end_after_one_list) as (service,), watching(service, 41):
+        await wait_until(lambda: len(service.requests) > 1)
         assert service.requests[0].target == b"/discovery/hosts?watch=1&from=41"
         assert service.requests[1].target == b"/discovery/hosts?watch=1&from=43"
 
 
 @pytest.mark.parametrize(
-    "bad", [b"{\n", b"[]\n", b'{"revision":44,"members":[{"id":"s-1"}]}\n', b'{"revision":44}\n']
+    "malformed", [b"{\n", b"[]\n", b'{"revision":44,"members":[{"id":"s-1"}]}\n', b'{"revision":44}\n']
 )
-@scenario
-async def test_a_bad_line_begins_the_watch_anew(bad: bytes) -> None:
+@async_test
+async def test_malformed_line_restarts_the_watch(malformed: bytes) -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
-        second = len(service.requests) > 1
-        writer.write(HEAD + (chunk(line(44)) if second else chunk(line(43)) + chunk(bad)))
+        is_second = len(service.requests) > 1
+        writer.write(HEAD + (chunk(line(44)) if is_second else chunk(line(43)) + chunk(malformed)))
 
-    async with peers(script) as (service,), watching(service) as lists:
-        await until(lambda: len(lists) > 1)
-        assert [told.revision for told in lists] == [43, 44]
+    async with scripted_servers(script) as (service,), watching(service) as lists:
+        await wait_until(lambda: len(lists) > 1)
+        assert [host_list.revision for host_list in lists] == [43, 44]
         assert service.requests[1].target.endswith(b"from=43")
 
 
@@ -121,18 +123,18 @@
     ],
     ids=["nothing", "half a head", "a head", "half a line", "half a chunk", "an empty line"],
 )
-@scenario
-async def test_a_watch_that_falls_silent_is_asked_for_again(before: bytes) -> None:
+@async_test
+async def test_silent_watch_is_restarted(before: bytes) -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(before if len(service.requests) == 1 else HEAD + chunk(line(42)))
 
-    async with peers(script) as (service,), watching(service, patience=QUICK) as lists:
-        await until(lambda: lists)
-        await until(lambda: service.closed)
+    async with scripted_servers(script) as (service,), watching(service, retry_policy=QUICK) as lists:
+        await wait_until(lambda: lists)
+        await wait_until(lambda: service.closed_connections)
 
 
-@scenario
-async def test_a_watch_that_trickles_but_tells_nothing_is_asked_for_again() -> None:
+@async_test
+async def test_trickle_without_a_line_is_restarted() -> None:
     """Each byte comes well within the silence that is allowed, and no line ever ends."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -144,13 +146,15 @@
             writer.write(chunk(b" "))
             await asyncio.sleep(0.01)
 
-    patience = Patience((5.0, 5.0), connect=1.0, first=0.2, least_pause=0.01, most_pause=0.02)
-    async with peers(script) as (service,), watching(service, patience=patience) as lists:
-        await until(lambda: lists)
+    retry_policy = RetryPolicy(
+        (5.0, 5.0), connect_timeout=1.0, first_line_timeout=0.2, min_backoff=0.01, max_backoff=0.02
+    )
+    async with scripted_servers(script) as (service,), watching(service, retry_policy=retry_policy) as lists:
+        await wait_until(lambda: lists)
 
 
-@scenario
-async def test_a_last_line_of_the_old_service_is_not_taken_after_the_move(
+@async_test
+async def test_unread_line_of_the_old_service_is_ignored_after_a_move(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It lies here unread as discovery moves: its revision would hide what the new service has to tell."""
@@ -158,115 +162,121 @@
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(b"\n"))
 
-    async def new(request: Message, writer: asyncio.StreamWriter) -> None:
+    async def new_service(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(line(7)))
 
     lists: list[HostList] = []
-    made: list[discovery._Watching] = []
+    connections: list[discovery._WatchConnection] = []
 
-    class Shown(discovery._Watching):
+    class RecordedConnection(discovery._WatchConnection):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             super().connection_made(transport)
-            made.append(self)
+            connections.append(self)
 
-    monkeypatch.setattr(discovery, "_Watching", Shown)
-    async with peers(script, new) as (old, fresh):
-        watch = Discovery(("127.0.0.1", old.port), 41, lists.append, PUSHED)
+    monkeypatch.setattr(discovery, "_WatchConnection", RecordedConnection)
+    async with scripted_servers(script, new_service) as (old, new):
+        watch = Discovery(("127.0.0.1", old.port), 41, lists.append, LOCAL_AGENT_POLICY)
         watch.start()
-        await until(lambda: made and made[0]._told)
-        assert made[0]._transport is not None
-        poll = poller(made[0]._transport.get_extra_info("socket"))
-        old.writers[0].write(chunk(line(99, old.entry())))
+        await wait_until(lambda: connections and connections[0]._has_line)
+        assert connections[0]._transport is not None
+        poll = read_poller(connections[0]._transport.get_extra_info("socket"))
+        old.writers[0].write(chunk(line(99, old.discovery_entry())))
         while not poll(0):  # it is here, and the loop has not had a turn to read it
             pass
         # Called in the loop's next turn, as a signal's handler is: that turn has the line to read already.
-        asyncio.get_running_loop().call_soon(watch.move, ("127.0.0.1", fresh.port))
-        await until(lambda: lists)
+        asyncio.get_running_loop().call_soon(watch.move, ("127.0.0.1", new.port))
+        await wait_until(lambda: lists)
         watch.stop()
-        assert [told.revision for told in lists] == [7]
-        assert fresh.requests[0].target.endswith(b"from=0")
+        assert [host_list.revision for host_list in lists] == [7]
+        assert new.requests[0].target.endswith(b"from=0")
 
 
-@scenario
-async def test_a_move_before_the_start_makes_one_watch_and_a_stop_ends_it() -> None:
+@async_test
+async def test_move_before_the_start_makes_one_watch() -> None:
     """SIGHUP may come first. A second watch would go on with the old service's lists after the next move."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(line(7)))
 
     lists: list[HostList] = []
-    async with peers(script) as (service,):
-        watch = Discovery(("127.0.0.1", 1), 41, lists.append, PUSHED)
+    async with scripted_servers(script) as (service,):
+        watch = Discovery(("127.0.0.1", 1), 41, lists.append, LOCAL_AGENT_POLICY)
         watch.move(("127.0.0.1", service.port))
         watch.start()
-        await until(lambda: lists)
+        await wait_until(lambda: lists)
         await asyncio.sleep(0.05)  # a second one would have asked by now
         watch.stop()
-        await until(lambda: service.closed == service.connections)
+        await wait_until(lambda: service.closed_connections == service.connections)
         assert len(service.requests) == 1
 
 
-@scenario
-async def test_empty_lines_keep_a_watch_alive() -> None:
+@async_test
+async def test_empty_line_keeps_a_watch_alive() -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(b"\n") + chunk(line(42)))
 
-    async with peers(script) as (service,), watching(service) as lists:
-        await until(lambda: lists)
+    async with scripted_servers(script) as (service,), watching(service) as lists:
+        await wait_until(lambda: lists)
         assert len(service.requests) == 1
 
 
-@scenario
-async def test_an_error_is_asked_again() -> None:
+@async_test
+async def test_call_is_repeated_after_an_error_response() -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) == 1:
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         else:
             writer.write(HEAD + chunk(line(42)))
 
-    async with peers(script) as (service,), watching(service) as lists:
-        await until(lambda: lists)
+    async with scripted_servers(script) as (service,), watching(service) as lists:
+        await wait_until(lambda: lists)
 
 
-@scenario
-async def test_a_call_that_breaks_off_behind_its_wait_is_made_again_soon_each_time() -> None:
+@async_test
+async def test_call_that_broke_off_after_queueing_is_repeated_soon_each_time() -> None:
     """Its turn had come: only who had no answer at all, or a refusal, comes back when the line is shorter."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) > 3:
             writer.write(HEAD + chunk(line(42)))
             return
-        await asyncio.sleep(IN_LINE + 0.1)
+        await asyncio.sleep(QUEUED_SECONDS + 0.1)
         writer.write(HEAD + chunk(line(42)[:10]))
         writer.close()
 
-    long = 100 * GENEROUS  # for all who had no answer
-    patience = replace(QUICK, first=GENEROUS, turned_away=long, most_pause=long, least_pause=long)
-    async with peers(script) as (service,), watching(service, patience=patience) as lists:
-        await until(lambda: lists)
-
-
-@scenario
-async def test_a_fault_does_not_end_the_watching(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Faulty(discovery._Watching):
+    long = 100 * TEST_TIMEOUT_SECONDS  # for all who had no answer
+    retry_policy = replace(
+        QUICK,
+        first_line_timeout=TEST_TIMEOUT_SECONDS,
+        queue_full_spread=long,
+        max_backoff=long,
+        min_backoff=long,
+    )
+    async with scripted_servers(script) as (service,), watching(service, retry_policy=retry_policy) as lists:
+        await wait_until(lambda: lists)
+
+
+@async_test
+async def test_watch_continues_after_an_unexpected_exception(monkeypatch: pytest.MonkeyPatch) -> None:
+    class FaultyConnection(discovery._WatchConnection):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             super().connection_made(transport)
             if not faults:
                 faults.append(1)
-                self.over.set_exception(RuntimeError("a fault of this test"))
+                self.ended.set_exception(RuntimeError("a fault of this test"))
 
     faults: list[int] = []
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(line(42)))
 
-    monkeypatch.setattr(discovery, "_Watching", Faulty)
-    async with peers(script) as (service,), watching(service) as lists:
-        await until(lambda: lists)
+    monkeypatch.setattr(discovery, "_WatchConnection", FaultyConnection)
+    async with scripted_servers(script) as (service,), watching(service) as lists:
+        await wait_until(lambda: lists)
         assert faults
 
 
-def test_an_entry_in_the_module_s_words() -> None:
+def test_conversion_of_an_entry() -> None:
     entry = {
         "id": "s-5be2a07c",
         "host_port": "127.1.0.18:9000",
@@ -277,16 +287,16 @@
         "size": 1.5,
         "up_since_ms": 1_700_000_000_123,
     }
-    member = read_list({"revision": 1, "complete": True, "members": [entry]}).members[0]
+    member = parse_list({"revision": 1, "complete": True, "members": [entry]}).members[0]
     server = member.server
     assert member.address == ("127.1.0.18", 9000)
     assert (server.zone, server.kind, server.cell, server.weight) == ("a", "m2", 3, 1.5)
-    assert (server.state, server.started) == (State.READY, 1_700_000_000_123 * MS)
+    assert (server.state, server.started_at) == (State.READY, 1_700_000_000_123 * MS)
     others = [entry | {"phase": phase} for phase in ("Terminating", "Gone", "Odd")]
-    states = [member.server.state for member in read_list({"members": others}).members]
+    states = [member.server.state for member in parse_list({"members": others}).members]
     assert states == [State.DRAINING, State.GONE, State.DRAINING]
 
 
-def test_an_id_has_the_same_number_everywhere() -> None:
-    assert number("s-5be2a07c") == 9587356208999800076
-    assert number("s-5be2a07c") != number("s-5be2a07d")
+def test_hashed_server_id_is_stable() -> None:
+    assert hashed_server_id("s-5be2a07c") == 9587356208999800076
+    assert hashed_server_id("s-5be2a07c") != hashed_server_id("s-5be2a07d")
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -17,10 +17,19 @@
 from pathlib import Path
 from typing import Any
 
-from tests.peers import Client, Peer, Script, peers, request_text, scenario, silent, until
-from tests.processes import logged
+from tests.peers import (
+    Client,
+    Script,
+    ScriptedServer,
+    async_test,
+    never_answers,
+    request_text,
+    scripted_servers,
+    wait_until,
+)
+from tests.processes import wait_for_log
 from tests.test_discovery import HEAD
-from tests.test_program import SETUP, port_of, program, told
+from tests.test_program import SETTINGS, listen_port, platform_config, running_program
 from whinrouter.net.http import Message
 
 LONGEST = 2.0  # seconds of the longest deadline
@@ -31,8 +40,8 @@
 
 
 def _settings() -> dict[str, Any]:
-    classes = [entry | {"giveUp": round(LONGEST * 1_000_000)} for entry in SETUP["classes"]]
-    return SETUP | {"classes": classes}
+    classes = [entry | {"giveUp": round(LONGEST * 1_000_000)} for entry in SETTINGS["classes"]]
+    return SETTINGS | {"classes": classes}
 
 
 async def _watch(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -41,7 +50,7 @@
 
 @dataclass
 class _Scene:
-    host: Peer
+    host: ScriptedServer
     client: Client
     process: asyncio.subprocess.Process
     stopped: float = 0.0  # when it had its signal
@@ -49,20 +58,20 @@
     async def stop(self) -> None:
         self.process.send_signal(signal.SIGTERM)
         self.stopped = time.monotonic()
-        await logged(self.process, "stopping")
+        await wait_for_log(self.process, "stopping")
 
     async def answer(self) -> Message:
         """Its answer, which has to be there before the process may be killed."""
         async with asyncio.timeout(self.stopped + LIVES - time.monotonic()):
-            return await self.client.answer()
+            return await self.client.read_answer()
 
 
 @asynccontextmanager
-async def _scene(folder: Path, script: Script = silent) -> AsyncIterator[_Scene]:
-    async with peers(script, _watch) as (host, service):
-        config = told(service.port, host.entry(), settings=_settings())
-        async with program(folder, config) as process:
-            client = await Client.connect(await port_of(process))
+async def _scene(folder: Path, script: Script = never_answers) -> AsyncIterator[_Scene]:
+    async with scripted_servers(script, _watch) as (host, service):
+        config = platform_config(service.port, host.discovery_entry(), settings=_settings())
+        async with running_program(folder, config) as process:
+            client = await Client.connect(await listen_port(process))
             yield _Scene(host, client, process)
 
 
@@ -70,12 +79,12 @@
     return request_text("chapter-buy", {"Content-Length": str(len(body)), "X-Deadline": str(LONGEST)}, body)
 
 
-@scenario
+@async_test
 async def test_an_upload_that_is_whole_late_has_its_answer_before_the_kill(tmp_path: Path) -> None:
     async with _scene(tmp_path) as scene:
         text = _upload()
         scene.client.writer.write(text[:-1000])
-        await until(lambda: scene.host.requests or scene.host.taken > 100_000)
+        await wait_until(lambda: scene.host.requests or scene.host.received_bytes > 100_000)
         await scene.stop()
         await asyncio.sleep(1.0)
         scene.client.writer.write(text[-1000:])
@@ -84,13 +93,13 @@
         assert not answer.keep_alive
 
 
-@scenario
+@async_test
 async def test_an_upload_that_goes_on_beyond_the_kill_is_answered_before(tmp_path: Path) -> None:
     """Its host has not had the last byte, so that a refusal would hold too."""
     async with _scene(tmp_path) as scene:
         text, step = _upload(), 20_000
         scene.client.writer.write(text[: 5 * step])
-        await until(lambda: scene.host.taken > 2 * step)
+        await wait_until(lambda: scene.host.received_bytes > 2 * step)
         await scene.stop()
 
         async def go_on() -> None:
@@ -105,7 +114,7 @@
         assert not answer.keep_alive
 
 
-@scenario
+@async_test
 async def test_a_request_that_is_still_being_received_is_refused_before_the_kill(tmp_path: Path) -> None:
     """Nothing of it was sent on: its client is told to go elsewhere before its last byte makes it ours."""
     async with _scene(tmp_path) as scene:
@@ -126,7 +135,7 @@
         assert not scene.host.requests
 
 
-@scenario
+@async_test
 async def test_a_request_that_comes_late_on_a_kept_connection_has_its_answer_before_the_kill(
     tmp_path: Path,
 ) -> None:
--- a/tests/test_hostfile.py
+++ b/tests/test_hostfile.py
@@ -7,41 +7,41 @@
 
 import pytest
 
-from tests.peers import scenario
+from tests.peers import async_test
 from whinrouter.net.connect import Listener
 from whinrouter.net.hostfile import HostFile
 from whinrouter.net.hosts import HostList
 from whinrouter.operator.checks import RESERVED_SOCKETS
-from whinrouter.program import RESERVED
-from whinrouter.sidecar import _read
+from whinrouter.program import RESERVED_DESCRIPTORS
+from whinrouter.sidecar import _parse_host
 
 
-def test_what_is_no_good_or_the_same_tells_nothing(tmp_path: Path) -> None:
-    told: list[HostList] = []
+def test_malformed_missing_or_unchanged_file_brings_no_list(tmp_path: Path) -> None:
+    lists: list[HostList] = []
     path = tmp_path / "hosts"
-    hosts = HostFile(str(path), _read, told.append)
+    hosts = HostFile(str(path), _parse_host, lists.append)
     path.write_text("# the fleet\n127.0.0.1:7001\n")
-    hosts._look_once()
+    hosts._poll_once()
     for text in ("", "# nobody\n", "127.0.0.1\n", "unix:/run/x.sock\n", "127.0.0.1:7001 7002\n"):
         path.write_text(text)
         hosts.move(str(path))
         with pytest.raises(ValueError, match=r"names no host|is no address|is no host"):
-            hosts._look_once()
+            hosts._poll_once()
     path.unlink()
     with pytest.raises(FileNotFoundError):
-        hosts._look_once()
+        hosts._poll_once()
     path.write_text("127.0.0.1:7001 # the same\n")
     hosts.move(str(path))
-    hosts._look_once()
-    assert len(told) == 1
+    hosts._poll_once()
+    assert len(lists) == 1
     path.write_text("127.0.0.1:7002\n")
     hosts.move(str(path))
-    hosts._look_once()
-    assert [member.address for member in told[-1].members] == [("127.0.0.1", 7002)]
+    hosts._poll_once()
+    assert [member.address for member in lists[-1].members] == [("127.0.0.1", 7002)]
 
 
-@scenario
-async def test_a_listener_that_is_closed_as_it_opens_does_not_listen() -> None:
+@async_test
+async def test_listener_closed_while_opening_does_not_listen() -> None:
     """An application that dies as soon as it was seen must not leave its sidecar listening."""
     listener = Listener(asyncio.Protocol)
     listener.bind("127.0.0.1", 0)
@@ -56,5 +56,5 @@
         await asyncio.open_connection("127.0.0.1", port)
 
 
-def test_the_check_counts_the_descriptors_that_the_program_keeps() -> None:
-    assert RESERVED_SOCKETS == RESERVED
+def test_check_and_program_reserve_the_same_descriptors() -> None:
+    assert RESERVED_SOCKETS == RESERVED_DESCRIPTORS
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,7 +12,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def _known_red() -> ModuleType:
+def _load_known_red() -> ModuleType:
     spec = importlib.util.spec_from_file_location("known_red", ROOT / ".ci" / "known_red.py")
     assert spec is not None
     assert spec.loader is not None
@@ -22,11 +22,11 @@
     return module
 
 
-known_red = _known_red()
+known_red = _load_known_red()
 ENTRY = "tests/test_a.py::test_b | 3 | fails 2 of 9 | not known | 56"
 
 
-def test_each_entry_names_a_test_that_there_is() -> None:
+def test_each_entry_names_an_existing_test() -> None:
     path = ROOT / "KNOWN-RED.txt"
     for entry in known_red.read(path.read_text()) if path.exists() else []:
         if entry.is_test:
@@ -34,7 +34,7 @@
             assert f"def {name.partition('[')[0]}(" in (ROOT / file).read_text()
 
 
-def test_tests_are_passed_over_and_commands_are_not() -> None:
+def test_tests_are_deselected_and_commands_are_not() -> None:
     entries = known_red.read(f"{ENTRY}\n\npython -m benchmarks.soak | 4 | lost 1 | not known | 56\n")
     assert known_red.options(entries) == ["--deselect=tests/test_a.py::test_b"]
     assert known_red.play(entries[1:], []) == [
@@ -45,14 +45,14 @@
 @pytest.mark.parametrize(
     "line", ["tests/test_a.py::test_b", ENTRY.replace("56", "soon"), ENTRY.replace("3", "")]
 )
-def test_a_line_that_is_no_entry_is_an_error(line: str) -> None:
+def test_invalid_line_raises_bad_entry_error(line: str) -> None:
     with pytest.raises(known_red.BadEntryError):
         known_red.read(line)
 
 
-def test_a_test_that_passes_is_told() -> None:
+def test_listed_test_that_passes_is_reported() -> None:
     """No entry may outlive its fault."""
-    passing = f"{Path(__file__).relative_to(ROOT)}::test_tests_are_passed_over_and_commands_are_not"
+    passing = f"{Path(__file__).relative_to(ROOT)}::test_tests_are_deselected_and_commands_are_not"
     entries = known_red.read(ENTRY.replace("tests/test_a.py::test_b", passing) + "\n" + ENTRY)
-    told = known_red.play(entries, ["-p", "no:cacheprovider"])
-    assert [line.partition(",")[0] for line in told] == ["PASSES", "fails"]
+    lines = known_red.play(entries, ["-p", "no:cacheprovider"])
+    assert [line.partition(",")[0] for line in lines] == ["PASSES", "fails"]
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -7,13 +7,13 @@
 from .helpers import Driver
 
 
-def test_silent_servers_are_found_before_the_time_out() -> None:
-    driver = Driver(count=1)
+def test_silent_servers_are_detected_before_the_deadline() -> None:
+    driver = Driver(server_count=1)
     for _ in range(60):
-        driver.serve(taken=20 * MS)
+        driver.serve(latency=20 * MS)
     for _ in range(3):
-        driver.ask()
+        driver.submit()
     for due, token in sorted(driver.timers):
-        driver.fire(due, token)
-    assert driver.now < driver.out()[0].at + 200 * MS
-    assert driver.answers[driver.ask()] == ["refused"]
+        driver.fire_timer(due, token)
+    assert driver.now < driver.running()[0].sent_at + 200 * MS
+    assert driver.answers[driver.submit()] == ["refused"]
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -12,73 +12,85 @@
 
 import pytest
 
-from tests.peers import Peer, change, peers, request_text, resets, running, says, scenario, until
+from tests.peers import (
+    ScriptedServer,
+    answers_with,
+    async_test,
+    replace_method,
+    request_text,
+    resets_connection,
+    running_gateway,
+    scripted_servers,
+    wait_until,
+)
 from whinrouter.balance import Balancer
 from whinrouter.interface import MS, SECOND, Effect, Outcome, RequestClass, Scope, Server, Settings
-from whinrouter.net.attempt import Attempt, Began, Ended, MayBegin
-from whinrouter.net.gateway import Answer, Asked, Gateway
+from whinrouter.net.attempt import Attempt, EndedCallback, MayBeginCheck, StreamingCallback
+from whinrouter.net.gateway import Answer, ClientRequest, Gateway
 from whinrouter.net.hosts import HostList, Member
 from whinrouter.net.http import Message
 
-WINDOW = SECOND  # so long that a stall of the test's own machine does not end it
+DEDUP_WINDOW = SECOND  # so long that a stall of the test's own machine does not end it
 
 
-def _settings(window: int = WINDOW, scope: Scope = Scope.ALL) -> Settings:
+def _settings(window: int = DEDUP_WINDOW, scope: Scope = Scope.ALL) -> Settings:
     order = RequestClass("order", 40 * MS, 20 * SECOND, Effect.KEYED, scope, window, worth=8)
     return Settings((order,), max_attempts=3, may_hedge=True, may_cancel=True)
 
 
-def _wait(seconds: float) -> None:
+def _block_loop(seconds: float) -> None:
     """Let time pass without a turn of the loop."""
     loop = asyncio.get_running_loop()
-    until_ = loop.time() + seconds
-    while loop.time() < until_:
+    end = loop.time() + seconds
+    while loop.time() < end:
         pass
 
 
 @pytest.mark.parametrize(("scope", "status"), [(Scope.ALL, 503), (Scope.CELL, 502)])
-@scenario
-async def test_a_keyed_repeat_whose_connection_is_up_after_the_window_is_not_written(
+@async_test
+async def test_a_keyed_retry_is_not_written_when_it_connects_after_the_dedup_window(
     scope: Scope, status: int
 ) -> None:
-    async with peers(resets, resets) as hosts:
+    async with scripted_servers(resets_connection, resets_connection) as hosts:
         members = [host.member() for host in hosts]
-        async with running(*members, settings=_settings(scope=scope)) as proxy:
-            up, connections = proxy.upstream._up, 0
+        async with running_gateway(*members, settings=_settings(scope=scope)) as proxy:
+            up, connections = proxy.upstream._on_connected, 0
 
-            def late(*args: Any) -> None:
+            def connect_late(*args: Any) -> None:
                 nonlocal connections
                 connections += 1
                 if connections > 1:  # of the repeat
-                    _wait(WINDOW / SECOND)
+                    _block_loop(DEDUP_WINDOW / SECOND)
                 up(*args)
 
-            change(proxy.upstream, "_up", late)
+            replace_method(proxy.upstream, "_on_connected", connect_late)
             client = await proxy.client()
             client.writer.write(request_text("order", {"Idempotency-Key": "5c0f"}))
-            assert (await client.answer()).status == status
+            assert (await client.read_answer()).status == status
             assert connections == 2
             assert sum(len(host.requests) for host in hosts) == 1
-            await until(lambda: proxy.upstream.open == 0)
+            await wait_until(lambda: proxy.upstream.descriptors_in_use == 0)
             client.close()
 
 
-@scenario
-async def test_a_keyed_repeat_whose_connection_is_up_in_time_is_served() -> None:
+@async_test
+async def test_a_keyed_retry_that_connects_within_the_dedup_window_is_served() -> None:
     async def first_resets(request: Message, writer: asyncio.StreamWriter) -> None:
-        await (resets if sum(len(host.requests) for host in hosts) == 1 else says())(request, writer)
+        await (resets_connection if sum(len(host.requests) for host in hosts) == 1 else answers_with())(
+            request, writer
+        )
 
-    hosts: list[Peer]
-    async with peers(first_resets, first_resets) as hosts:
+    hosts: list[ScriptedServer]
+    async with scripted_servers(first_resets, first_resets) as hosts:
         settings = _settings(30 * SECOND)
-        async with running(*[host.member() for host in hosts], settings=settings) as proxy:
+        async with running_gateway(*[host.member() for host in hosts], settings=settings) as proxy:
             client = await proxy.client()
             client.writer.write(request_text("order", {"Idempotency-Key": "5c0f"}))
-            assert (await client.answer()).status == 200
+            assert (await client.read_answer()).status == 200
             client.close()
 
 
-class _Held:
+class _StalledSender:
     """Hosts to which no connection comes up before a test says so."""
 
     def __init__(self) -> None:
@@ -92,69 +104,73 @@
         self,
         server: int,
         message: Message,
-        expires: float,
-        ended: Ended,
+        expires_at: float,
+        on_ended: EndedCallback,
         owner: Any = None,
         number: int = 0,
-        began: Began | None = None,
-        may_begin: MayBegin | None = None,
+        on_streaming: StreamingCallback | None = None,
+        may_begin: MayBeginCheck | None = None,
     ) -> Attempt | None:
-        self.attempts.append(Attempt(self, message, expires, ended, owner, number, 0.0, began, may_begin))
+        self.attempts.append(
+            Attempt(self, message, expires_at, on_ended, owner, number, 0.0, on_streaming, may_begin)
+        )
         return self.attempts[-1]
 
-    def barred(self, number: int) -> Outcome | None:
+    def blocked_outcome(self, number: int) -> Outcome | None:
         attempt = self.attempts[number]
         assert attempt.may_begin is not None
         return attempt.may_begin(attempt, True, True)
 
 
-def _ask(gateway: Gateway, patience: int = 20 * SECOND) -> list[Answer]:
+def _submit(gateway: Gateway, timeout: int = 20 * SECOND) -> list[Answer]:
     answers: list[Answer] = []
-    gateway.take(Asked(Message(b"POST", b"/order"), "order", patience), answers.append)
+    gateway.submit_request(ClientRequest(Message(b"POST", b"/order"), "order", timeout), answers.append)
     return answers
 
 
-def _gateway(held: _Held, settings: Settings) -> Gateway:
-    gateway = Gateway(Balancer(settings, seed=1), held)
-    gateway.list_hosts(HostList(1, True, tuple(Member(Server(id=at), ("127.0.0.1", 9)) for at in (1, 2))))
+def _create_gateway(sender: _StalledSender, settings: Settings) -> Gateway:
+    gateway = Gateway(Balancer(settings, seed=1), sender)
+    gateway.update_hosts(
+        HostList(1, True, tuple(Member(Server(id=server_id), ("127.0.0.1", 9)) for server_id in (1, 2)))
+    )
     return gateway
 
 
-@scenario
-async def test_the_first_of_two_is_held_to_the_window_too() -> None:
+@async_test
+async def test_the_dedup_window_also_binds_the_first_of_two_attempts() -> None:
     """Its connection comes up late, and the copy that was started meanwhile may have run."""
-    held = _Held()
-    gateway = _gateway(held, _settings())
-    answers = _ask(gateway)
-    assert held.barred(0) is None
-    await until(lambda: len(held.attempts) > 1)  # late by its like
-    _wait(WINDOW / SECOND)
-    assert held.barred(0) is Outcome.NOT_SENT
-    assert held.barred(1) is Outcome.NOT_SENT
+    sender = _StalledSender()
+    gateway = _create_gateway(sender, _settings())
+    answers = _submit(gateway)
+    assert sender.blocked_outcome(0) is None
+    await wait_until(lambda: len(sender.attempts) > 1)  # late by its like
+    _block_loop(DEDUP_WINDOW / SECOND)
+    assert sender.blocked_outcome(0) is Outcome.NOT_SENT
+    assert sender.blocked_outcome(1) is Outcome.NOT_SENT
     assert not answers
 
 
 @pytest.mark.parametrize("window", [0, 1, 5 * MS])
-@scenario
-async def test_what_is_alone_may_take_longer_than_the_window(window: int) -> None:
+@async_test
+async def test_a_sole_attempt_may_connect_after_the_dedup_window(window: int) -> None:
     """Nothing that it would be a repeat of can have run: also where all before it never were sent."""
-    held = _Held()
-    gateway = _gateway(held, _settings(window))
-    _ask(gateway)
-    _wait(0.01)
-    assert held.barred(0) is None
-    held.attempts[0].stop(Outcome.NOT_SENT)
-    assert len(held.attempts) == 2
-    _wait(0.01)
-    assert held.barred(1) is None
-
-
-@scenario
-async def test_what_is_up_after_its_time_is_not_written() -> None:
-    held = _Held()
-    gateway = _gateway(held, _settings())
-    answers = _ask(gateway, WINDOW)
-    assert held.barred(0) is None
-    _wait(WINDOW / SECOND)
-    assert held.barred(0) is Outcome.NOT_SENT
-    await until(lambda: answers)
+    sender = _StalledSender()
+    gateway = _create_gateway(sender, _settings(window))
+    _submit(gateway)
+    _block_loop(0.01)
+    assert sender.blocked_outcome(0) is None
+    sender.attempts[0].stop(Outcome.NOT_SENT)
+    assert len(sender.attempts) == 2
+    _block_loop(0.01)
+    assert sender.blocked_outcome(1) is None
+
+
+@async_test
+async def test_an_attempt_is_not_written_when_it_connects_after_the_deadline() -> None:
+    sender = _StalledSender()
+    gateway = _create_gateway(sender, _settings())
+    answers = _submit(gateway, DEDUP_WINDOW)
+    assert sender.blocked_outcome(0) is None
+    _block_loop(DEDUP_WINDOW / SECOND)
+    assert sender.blocked_outcome(0) is Outcome.NOT_SENT
+    await wait_until(lambda: answers)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -19,11 +19,19 @@
 
 import pytest
 
-from tests.peers import GENEROUS, Client, Peer, peers, request_text, says, scenario
+from tests.peers import (
+    TEST_TIMEOUT_SECONDS,
+    Client,
+    ScriptedServer,
+    answers_with,
+    async_test,
+    request_text,
+    scripted_servers,
+)
 
-SECONDS = 1.5  # of load
-BURNERS = 3  # that compute on the gateway's core
-AT_ONCE = (16, 100, 300)  # clients that ask again as soon as they are answered
+LOAD_SECONDS = 1.5  # of load
+BUSY_PROCESSES = 3  # that compute on the gateway's core
+CLIENT_COUNTS = (16, 100, 300)  # clients that ask again as soon as they are answered
 
 CLASSES = [
     {"name": "page-read", "effect": "idempotent", "giveUp": 1_500_000, "onTime": 400_000, "worth": 3.0},
@@ -32,7 +40,7 @@
 
 
 @contextmanager
-def crowded(folder: Path, host: Peer) -> Iterator[int]:
+def program_on_a_busy_core(folder: Path, host: ScriptedServer) -> Iterator[int]:
     """The program on one core with others that compute; its port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
@@ -42,14 +50,14 @@
         "discovery": "127.0.0.1:1",
         "seed": "1",
         "limits": {"sockets": 4096},  # nobody makes room: what crosses a close may be asked again
-        "known": {"revision": 1, "complete": True, "members": [host.entry()]},
+        "known": {"revision": 1, "complete": True, "members": [host.discovery_entry()]},
         "settings": {"classes": CLASSES, "permissions": {"maxAttempts": 3, "cancelling": True}},
     }
     (folder / "config.json").write_text(json.dumps(config))
     environment = {**os.environ, "PROXY_CONFIG": str(folder / "config.json")}
     command = [sys.executable, "-m", "whinrouter"]
     children = [subprocess.Popen(command, env=environment, stderr=subprocess.DEVNULL)]
-    children += [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(BURNERS)]
+    children += [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(BUSY_PROCESSES)]
     core = max(os.sched_getaffinity(0))
     for child in children:
         os.sched_setaffinity(child.pid, {core})
@@ -61,8 +69,8 @@
             child.wait()
 
 
-async def connected(port: int) -> Client:
-    async with asyncio.timeout(GENEROUS):
+async def connect(port: int) -> Client:
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while True:
             try:
                 return await Client.connect(port)
@@ -70,40 +78,40 @@
                 await asyncio.sleep(0.05)
 
 
-async def ask(port: int, buys: bool, until: float, answers: Counter[int]) -> None:
+async def send_requests(port: int, is_purchase: bool, until: float, answers: Counter[int]) -> None:
     """Ask one after the other; a connection that ends without an answer to what was asked is a fault."""
     loop = asyncio.get_running_loop()
-    client = await connected(port)
+    client = await connect(port)
     while loop.time() < until:
-        kind = "chapter-buy" if buys else "page-read"
-        client.writer.write(request_text(kind, {"X-Deadline": ""}))
-        answer = await client.answer()
+        class_name = "chapter-buy" if is_purchase else "page-read"
+        client.writer.write(request_text(class_name, {"X-Deadline": ""}))
+        answer = await client.read_answer()
         answers[answer.status] += 1
         if not answer.keep_alive:
-            assert await client.rest() == b""  # nothing more
+            assert await client.read_to_end() == b""  # nothing more
             client.close()
-            client = await connected(port)
+            client = await connect(port)
     client.close()
 
 
-@pytest.mark.parametrize("count", AT_ONCE)
-@scenario
+@pytest.mark.parametrize("count", CLIENT_COUNTS)
+@async_test
 async def test_under_any_load_each_request_has_one_answer(count: int, tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        with crowded(tmp_path, host) as port:
-            client = await connected(port)
-            assert (await client.ask()).status == 200
+    async with scripted_servers(answers_with()) as (host,):
+        with program_on_a_busy_core(tmp_path, host) as port:
+            client = await connect(port)
+            assert (await client.fetch()).status == 200
             answers: Counter[int] = Counter()
-            until = asyncio.get_running_loop().time() + SECONDS
+            until = asyncio.get_running_loop().time() + LOAD_SECONDS
             async with asyncio.TaskGroup() as group:
-                for place in range(count):
-                    group.create_task(ask(port, place % 4 == 0, until, answers))
+                for index in range(count):
+                    group.create_task(send_requests(port, index % 4 == 0, until, answers))
             assert set(answers) <= {200, 502, 503, 504}
             assert answers[200]
             runs = Counter(
                 request.get(b"x-request-id") for request in host.requests if request.method == b"POST"
             )
             assert set(runs.values()) <= {1}
-            async with asyncio.timeout(GENEROUS):  # the load is over
-                while (await (await connected(port)).ask()).status != 200:
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):  # the load is over
+                while (await (await connect(port)).fetch()).status != 200:
                     await asyncio.sleep(0.05)
--- a/tests/test_overload_control.py
+++ b/tests/test_overload_control.py
@@ -10,7 +10,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from whinrouter.overload_control import ACCEPT_EVERY, INTERVAL, LEAST_TARGET, READS_A_TURN, OwnLimit
+from whinrouter.overload_control import (
+    ACCEPT_INTERVAL_SECONDS,
+    INTERVAL_SECONDS,
+    MIN_TARGET_SECONDS,
+    READS_PER_TURN,
+    OverloadControl,
+)
 
 AIM = 0.4
 SERVE, TURN_AWAY = 0.001, 0.0002  # seconds of CPU
@@ -20,7 +26,7 @@
 class Process:
     """A process that reads requests in the order in which they came, and what becomes of them."""
 
-    own: OwnLimit = field(default_factory=lambda: OwnLimit([AIM]))
+    own: OverloadControl = field(default_factory=lambda: OverloadControl([AIM]))
     now: float = 0.0
     waiting: deque[float] = field(default_factory=deque)
     waits: list[float] = field(default_factory=list)  # of those that were served
@@ -32,14 +38,14 @@
                 self.waiting.append(arrivals.popleft())
             if not self.waiting:
                 self.now = min(until, arrivals[0]) if arrivals else until
-                self.own.passes(self.now)
+                self.own.advance(self.now)
                 continue
-            came = self.waiting.popleft()
-            if self.own.waited(self.now - came, self.now):
+            arrived_at = self.waiting.popleft()
+            if self.own.should_reject(self.now - arrived_at, self.now):
                 self.turned_away.append(self.now)
                 self.now += TURN_AWAY
             else:
-                self.waits.append(self.now - came)
+                self.waits.append(self.now - arrived_at)
                 self.now += SERVE
 
 
@@ -57,20 +63,20 @@
     process.work(seconds, arrivals(factor / SERVE, 0, seconds))
     room = seconds - len(process.turned_away) * TURN_AWAY
     assert len(process.waits) > 0.9 * room / SERVE
-    late = [wait for wait in process.waits if wait > process.own.patience]
+    late = [wait for wait in process.waits if wait > process.own.max_wait]
     assert len(late) < 0.1 * len(process.waits)
 
 
 def test_without_it_nearly_all_would_be_late() -> None:
     """The model can tell the difference."""
-    process = Process(own=OwnLimit([1e9]))
+    process = Process(own=OverloadControl([1e9]))
     process.work(10.0, arrivals(2 / SERVE, 0, 10.0))
     assert sum(wait > AIM for wait in process.waits) > 0.8 * len(process.waits)
 
 
 def test_a_burst_after_silence_is_worked_off() -> None:
     process = Process()
-    process.work(20.0, deque([10.0] * int(INTERVAL / SERVE)))
+    process.work(20.0, deque([10.0] * int(INTERVAL_SECONDS / SERVE)))
     assert not process.turned_away
 
 
@@ -79,8 +85,8 @@
     load = arrivals(4 / SERVE, 0, 5.0) + arrivals(0.5 / SERVE, 5.0, 10.0)
     process.work(10.0, load)
     assert process.turned_away
-    assert max(process.turned_away) < 5.0 + 4 * INTERVAL
-    assert not process.own.reached
+    assert max(process.turned_away) < 5.0 + 4 * INTERVAL_SECONDS
+    assert not process.own.is_overloaded
 
 
 def test_a_pause_makes_it_turn_away_for_a_moment_alone() -> None:
@@ -92,7 +98,7 @@
     process.work(10.0, paused)
     assert process.turned_away
     assert max(process.turned_away) < 5.0 + 2.0
-    assert not process.own.reached
+    assert not process.own.is_overloaded
 
 
 def test_pauses_of_a_tenth_of_a_second_are_none_of_its_doing() -> None:
@@ -106,41 +112,41 @@
 
 
 def test_at_the_limit_reads_are_few_and_accepts_are_spread() -> None:
-    own = OwnLimit([AIM])
-    assert own.reads() is None
-    assert own.accepts(1.0)
-    assert own.accepts(1.0)
-    now = 1.0 + INTERVAL
-    own.waited(1.0, 1.0)
-    own.waited(1.0, now)
-    assert own.reached
-    assert own.reads() == READS_A_TURN
-    assert own.accepts(now)
-    assert not own.accepts(now + ACCEPT_EVERY / 2)
-    assert own.accepts(now + 1.01 * ACCEPT_EVERY)
+    own = OverloadControl([AIM])
+    assert own.read_limit() is None
+    assert own.may_accept(1.0)
+    assert own.may_accept(1.0)
+    now = 1.0 + INTERVAL_SECONDS
+    own.should_reject(1.0, 1.0)
+    own.should_reject(1.0, now)
+    assert own.is_overloaded
+    assert own.read_limit() == READS_PER_TURN
+    assert own.may_accept(now)
+    assert not own.may_accept(now + ACCEPT_INTERVAL_SECONDS / 2)
+    assert own.may_accept(now + 1.01 * ACCEPT_INTERVAL_SECONDS)
 
 
 def test_nobody_asking_is_no_sign_of_a_queue() -> None:
-    own = OwnLimit([AIM])
-    own.waited(1.0, 1.0)
-    own.passes(1.0 + 3 * INTERVAL)
-    assert not own.reached
+    own = OverloadControl([AIM])
+    own.should_reject(1.0, 1.0)
+    own.advance(1.0 + 3 * INTERVAL_SECONDS)
+    assert not own.is_overloaded
 
 
 @given(st.floats(0.001, 10))
 def test_the_target_is_a_part_of_the_aim_that_a_healthy_loop_can_keep(aim: float) -> None:
-    own = OwnLimit([aim, 20.0])
-    assert LEAST_TARGET <= own.target <= max(LEAST_TARGET, aim / 10)
+    own = OverloadControl([aim, 20.0])
+    assert MIN_TARGET_SECONDS <= own.target <= max(MIN_TARGET_SECONDS, aim / 10)
 
 
 @given(st.lists(st.tuples(st.floats(0, 1), st.floats(0, 0.5)), max_size=60))
 def test_nobody_is_turned_away_who_waited_less_than_the_patience(steps: list[tuple[float, float]]) -> None:
-    own, now = OwnLimit([AIM]), 0.0
+    own, now = OverloadControl([AIM]), 0.0
     for passed, waited in steps:
         now += passed
-        before = own.reached
-        if own.waited(waited, now):
-            assert waited > own.patience
-            assert own.reached
-        if not before and not own.reached:
-            assert own.reads() is None
+        before = own.is_overloaded
+        if own.should_reject(waited, now):
+            assert waited > own.max_wait
+            assert own.is_overloaded
+        if not before and not own.is_overloaded:
+            assert own.read_limit() is None
--- a/tests/test_pooled_limits.py
+++ b/tests/test_pooled_limits.py
@@ -6,7 +6,7 @@
 from statistics import mean
 
 from standins.coldstart import Warmup
-from standins.fleet import Burst, Fleet, Kind, Machine, machines
+from standins.fleet import Burst, Fleet, Machine, RequestKind, make_machines
 from whinrouter.balance import Balancer
 from whinrouter.interface import (
     MS,
@@ -23,42 +23,48 @@
 
 from .helpers import CLASSES, READ, servers
 
-STOCK = Kind(RequestClass("stock", 750 * MS, 2500 * MS, Effect.IDEMPOTENT), 0.6, 50 * MS, 18 * MS)
-PLACE = Kind(RequestClass("place", 150 * MS, 300 * MS, Effect.AT_MOST_ONCE, worth=4.0), 0.4, 17 * MS, 12 * MS)
+STOCK = RequestKind(RequestClass("stock", 750 * MS, 2500 * MS, Effect.IDEMPOTENT), 0.6, 50 * MS, 18 * MS)
+PLACE = RequestKind(
+    RequestClass("place", 150 * MS, 300 * MS, Effect.AT_MOST_ONCE, worth=4.0), 0.4, 17 * MS, 12 * MS
+)
 
 
-def _soon_overdriven(machine: Machine) -> None:
-    machine.over, machine.slower = SECOND, 3.0
+def _overload_sooner(machine: Machine) -> None:
+    machine.overload_delay, machine.slowdown = SECOND, 3.0
 
 
-def burst_before_servers_that_turn_slow(seed: int) -> Fleet:
+def burst_at_servers_that_overload(seed: int) -> Fleet:
     """Twelve servers, a third of them cold, that three requests a core for a second overdrive."""
     fleet = Fleet(
-        machines(12, (2,), (1.0, 0.6), at=3.0), (STOCK, PLACE), 32, 0.7, zones="ab", retries=2, seed=seed,
-        warmup=Warmup(share=0.5, told_share=0.3, time=8 * SECOND, multiple=3.0, window=1500 * MS),
+        make_machines(12, (2,), (1.0, 0.6), overload_threshold=3.0), (STOCK, PLACE), 32, 0.7, zones="ab",
+        retries=2, seed=seed,
+        warmup=Warmup(
+            initial_share=0.5, announced_share=0.3, ramp_time=8 * SECOND, overload_multiple=3.0,
+            overload_window=1500 * MS,
+        ),
         bursts=[Burst(4 * SECOND, 8 * SECOND, 1.5)],
     )  # fmt: skip
     for machine in fleet.machines:
-        _soon_overdriven(machine)
+        _overload_sooner(machine)
 
     def restart(server: int) -> None:
         fleet.restart(server)
-        _soon_overdriven(next(machine for machine in fleet.machines if machine.id == server))
+        _overload_sooner(next(machine for machine in fleet.machines if machine.id == server))
 
     for server in range(1, 5):
-        fleet.later(2 * SECOND + server * 100 * MS, partial(restart, server))
+        fleet.schedule(2 * SECOND + server * 100 * MS, partial(restart, server))
     return fleet
 
 
-def test_a_burst_leaves_most_servers_as_quick_as_they_were() -> None:
+def test_a_burst_overloads_few_servers() -> None:
     """Limits that doubled with each answer let a burst overdrive half of them, for the rest of the day."""
-    fleets = [burst_before_servers_that_turn_slow(seed) for seed in range(1, 5)]
+    fleets = [burst_at_servers_that_overload(seed) for seed in range(1, 5)]
     for fleet in fleets:
-        fleet.play(16 * SECOND)
-        assert not fleet.broken
+        fleet.run(16 * SECOND)
+        assert not fleet.violations
     assert mean(fleet.goodput(5 * SECOND, 9 * SECOND) for fleet in fleets) > 0.5
     assert mean(fleet.goodput(9 * SECOND, 15 * SECOND) for fleet in fleets) > 0.75
-    assert mean(fleet.overdriven() for fleet in fleets) < 4
+    assert mean(fleet.overloaded_count() for fleet in fleets) < 4
 
 
 def _zones_used(limit: float) -> list[str]:
@@ -70,7 +76,7 @@
     zones: dict[ServerId, str] = {server.id: server.zone for server in listed}
     for host in balancer._hosts.values():
         host.limit = limit
-    balancer._limits = 100.0  # the pool as a whole has room
+    balancer._total_limit = 100.0  # the pool as a whole has room
     used: list[str] = []
     for number in range(1, 20):
         actions = balancer.handle(Request(number, READ.name, 400 * MS), SECOND)
@@ -82,7 +88,7 @@
     assert set(_zones_used(10.0)) == {"a"}
 
 
-def test_requests_cross_zones_once_the_pool_of_the_zone_is_half_used() -> None:
+def test_requests_cross_zones_once_the_pool_of_the_zone_is_half_full() -> None:
     """A server with none in flight from here looked idle, however many the other balancers had there."""
     used = _zones_used(0.2)  # 1.2 for the six servers of the zone
     assert used[0] == "a"
--- a/tests/test_priority_selector.py
+++ b/tests/test_priority_selector.py
@@ -10,24 +10,24 @@
 
 import pytest
 
-from whinrouter.net.priority_selector import Door
-from whinrouter.overload_control import READS_A_TURN, OwnLimit
+from whinrouter.net.priority_selector import PrioritySelector
+from whinrouter.overload_control import READS_PER_TURN, OverloadControl
 
 
 class Sockets:
     """A door with ready sockets of each kind."""
 
     def __init__(self, stack: ExitStack, clients: int) -> None:
-        self.own = OwnLimit([0.4])
-        self.door = Door(self.own)
+        self.own = OverloadControl([0.4])
+        self.door = PrioritySelector(self.own)
         stack.callback(self.door.close)
         self.listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         self.clients = [self._ready(stack) for _ in range(clients)]
-        self.door.clients.update(client.fileno() for client in self.clients)
+        self.door.client_descriptors.update(client.fileno() for client in self.clients)
         self.host = self._ready(stack)
         stack.enter_context(socket.create_connection(self.listener.getsockname()))
         self.door.register(self.listener, selectors.EVENT_READ)
-        self.door.listeners.add(self.listener.fileno())
+        self.door.listener_descriptors.add(self.listener.fileno())
 
     def _ready(self, stack: ExitStack) -> socket.socket:
         here, there = socket.socketpair()
@@ -38,9 +38,9 @@
 
     def at_limit(self) -> None:
         now = time.monotonic()
-        self.own.waited(1.0, now - 0.2)
-        self.own.waited(1.0, now)
-        assert self.own.reached
+        self.own.should_reject(1.0, now - 0.2)
+        self.own.should_reject(1.0, now)
+        assert self.own.is_overloaded
 
     def told(self) -> list[socket.socket]:
         return [key.fileobj for key, _ in self.door.select(0)]  # type: ignore[misc]
@@ -58,13 +58,13 @@
 
 
 def test_at_the_limit_few_clients_are_told_and_the_others_in_their_turn(stack: ExitStack) -> None:
-    here = Sockets(stack, clients=3 * READS_A_TURN)
+    here = Sockets(stack, clients=3 * READS_PER_TURN)
     here.at_limit()
     seen: list[socket.socket] = []
     for _ in range(3):
         here.at_limit()
         told = [one for one in here.told() if one in here.clients]
-        assert len(told) == READS_A_TURN
+        assert len(told) == READS_PER_TURN
         for client in told:
             client.recv(1)
         seen += told
@@ -76,7 +76,7 @@
     here.at_limit()
     assert here.listener in here.told()
     here.at_limit()
-    assert here.own.accepts(time.monotonic() + 1)  # they were accepted just now
+    assert here.own.may_accept(time.monotonic() + 1)  # they were accepted just now
     assert here.listener not in here.told()
     here.host.recv(1)
     for client in here.clients:
@@ -87,7 +87,7 @@
 class Line:
     """A connection that a door looks at, with an age that the system counts."""
 
-    def __init__(self, stack: ExitStack, door: Door) -> None:
+    def __init__(self, stack: ExitStack, door: PrioritySelector) -> None:
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         self.there = stack.enter_context(socket.create_connection(listener.getsockname()))
         self.here = stack.enter_context(listener.accept()[0])
@@ -98,15 +98,15 @@
         return self.here
 
 
-def _lay(door: Door, line: Line, first: bool = False) -> float:
-    return door.lay(line, first)  # type: ignore[arg-type]
+def _lay(door: PrioritySelector, line: Line, is_first_read: bool = False) -> float:
+    return door.unread_seconds(line, is_first_read)  # type: ignore[arg-type]
 
 
 WAIT = 0.1
 
 
 def test_what_waited_here_between_two_looks_is_known(stack: ExitStack) -> None:
-    door = Door(OwnLimit([0.4]))
+    door = PrioritySelector(OverloadControl([0.4]))
     stack.callback(door.close)
     line = Line(stack, door)
     assert door.select(0) == []
@@ -122,7 +122,7 @@
     """A process whose clock goes at a hundredth of the system's, as one that is run in step with others."""
     monotonic = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: monotonic() / 100)
-    door = Door(OwnLimit([0.4]))
+    door = PrioritySelector(OverloadControl([0.4]))
     stack.callback(door.close)
     line = Line(stack, door)
     for _ in range(10):
@@ -131,26 +131,26 @@
     time.sleep(WAIT)
     assert len(door.select(0)) == 1
     assert _lay(door, line) == 0.0
-    assert _lay(door, line, first=True) == 0.0
+    assert _lay(door, line, is_first_read=True) == 0.0
 
 
 def test_a_look_that_holds_something_back_does_not_tell_how_long_it_waits(stack: ExitStack) -> None:
-    here = Sockets(stack, clients=2 * READS_A_TURN)
+    here = Sockets(stack, clients=2 * READS_PER_TURN)
     line = Line(stack, here.door)
-    here.door.clients.add(line.here.fileno())
+    here.door.client_descriptors.add(line.here.fileno())
     here.told()
     line.there.send(b"x")
     time.sleep(4 * WAIT)  # so that intervals in which requests waited have passed
     here.at_limit()
     for _ in range(4):  # the others come first
         assert line.here not in here.told()
-    here.own.reached = False
+    here.own.is_overloaded = False
     here.told()
     assert _lay(here.door, line) >= WAIT / 2
 
 
 def test_the_first_on_a_connection_may_have_waited_to_be_accepted(stack: ExitStack) -> None:
-    door = Door(OwnLimit([0.4]))
+    door = PrioritySelector(OverloadControl([0.4]))
     stack.callback(door.close)
     line = Line(stack, door)
     assert door.select(0) == []
@@ -161,4 +161,4 @@
         door.select(0)
     door.register(line.here, selectors.EVENT_READ)
     assert len(door.select(0)) == 1
-    assert _lay(door, line, first=True) >= WAIT / 2
+    assert _lay(door, line, is_first_read=True) >= WAIT / 2
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -8,9 +8,9 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_decision_module_stays_within_its_limit() -> None:
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    lines = [line for name in named for line in (ROOT / name).read_text().splitlines()]
+def test_the_decision_module_stays_within_its_line_limit() -> None:
+    policy_files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    lines = [line for name in policy_files for line in (ROOT / name).read_text().splitlines()]
     assert len([line for line in lines if line.strip()]) <= 1200
     assert max(map(len, lines)) <= 110
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from whinrouter.balance import EXTRA_SHARE
+from whinrouter.balance import RETRY_BUDGET_SHARE
 from whinrouter.interface import MS, Outcome, Settings
 
 from .helpers import CLASSES, Driver
@@ -12,18 +12,18 @@
     settings = Settings(CLASSES, balancers=balancers, max_attempts=9, may_hedge=True)
     driver = Driver(settings, 60)
     for _ in range(requests):
-        driver.ask()
-        while driver.out():
-            driver.end(driver.out()[0], Outcome.REJECTED)
+        driver.submit()
+        while driver.running():
+            driver.end_attempt(driver.running()[0], Outcome.REJECTED)
         driver.now += 100 * MS
-    return len(driver.sent)
+    return len(driver.sent_attempts)
 
 
-def test_full_servers_get_a_try_a_fallback_and_a_tenth_more() -> None:
+def test_full_servers_get_one_attempt_one_fallback_and_a_tenth_more() -> None:
     """Each of hundreds of balancers retrying as often as allowed kept full servers full."""
-    assert attempts_when_all_are_full(400, 100) <= 100 * (2 + EXTRA_SHARE) + 1
+    assert attempts_when_all_are_full(400, 100) <= 100 * (2 + RETRY_BUDGET_SHARE) + 1
 
 
-def test_the_burst_is_split_among_the_balancers() -> None:
+def test_the_burst_of_the_budget_is_split_among_the_balancers() -> None:
     assert attempts_when_all_are_full(1, 1) == 9
     assert attempts_when_all_are_full(400, 1) == 3
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -26,7 +26,7 @@
 )
 
 
-def named(routes: Routes, target: bytes) -> str | None:
+def class_of(routes: Routes, target: bytes) -> str | None:
     found = routes.find(target)
     return found.kind.name if found else None
 
@@ -59,39 +59,37 @@
         (b"/x/../chapter-buy", None),
     ],
 )
-def test_the_longest_prefix_of_whole_segments_counts(target: bytes, name: str | None) -> None:
-    assert named(ROUTES, target) == name
+def test_longest_prefix_of_whole_segments_counts(target: bytes, name: str | None) -> None:
+    assert class_of(ROUTES, target) == name
 
 
-def test_a_route_for_all_paths() -> None:
-    assert named(ALL, b"/anything/7") == "page-read"
-    assert named(ALL, b"/") == "page-read"
-    assert named(ALL, b"/chapter-buy/7") == "chapter-buy"
-    assert named(ALL, b"/%63hapter-buy") is None
+def test_route_for_all_paths() -> None:
+    assert class_of(ALL, b"/anything/7") == "page-read"
+    assert class_of(ALL, b"/") == "page-read"
+    assert class_of(ALL, b"/chapter-buy/7") == "chapter-buy"
+    assert class_of(ALL, b"/%63hapter-buy") is None
 
 
-_PART = st.sampled_from(["chapter-buy", "page-read", "buy", "x", "", ".", "..", "%2e%2e", "%63hapter-buy"])
+_SEGMENT = st.sampled_from(["chapter-buy", "page-read", "buy", "x", "", ".", "..", "%2e%2e", "%63hapter-buy"])
 
 
-def literal(prefixes: dict[str, str], path: str) -> str | None:
+def class_by_plain_search(prefixes: dict[str, str], path: str) -> str | None:
     """The class of a path as it stands, by a plain search."""
-    fits = [prefix for prefix in prefixes if path == prefix or path.startswith(prefix.rstrip("/") + "/")]
-    return prefixes[max(fits, key=len)] if fits else None
+    matches = [prefix for prefix in prefixes if path == prefix or path.startswith(prefix.rstrip("/") + "/")]
+    return prefixes[max(matches, key=len)] if matches else None
 
 
-@given(st.lists(_PART, max_size=6), st.booleans())
-def test_a_host_that_reads_the_path_its_own_way_runs_the_same_class(
-    parts: list[str], all_paths: bool
-) -> None:
-    target = "/" + "/".join(parts)
+@given(st.lists(_SEGMENT, max_size=6), st.booleans())
+def test_class_is_the_same_for_each_interpretation_of_the_path(segments: list[str], all_paths: bool) -> None:
+    target = "/" + "/".join(segments)
     routes = ALL if all_paths else ROUTES
     prefixes = {"/page-read": "page-read", "/page-read/buy": "chapter-buy", "/chapter-buy": "chapter-buy"}
     if all_paths:
         prefixes = {"/": "page-read", "/chapter-buy": "chapter-buy"}
-    found = named(routes, target.encode())
+    found = class_of(routes, target.encode())
     if found is None:
         return
-    for read in (target, unquote(target)):
-        single = re.sub("/+", "/", read)
+    for decoded in (target, unquote(target)):
+        single = re.sub("/+", "/", decoded)
         for plain in (single, posixpath.normpath(single)):
-            assert literal(prefixes, plain) == found
+            assert class_by_plain_search(prefixes, plain) == found
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,9 +9,9 @@
 
 from .helpers import CLASSES, Driver, servers
 
-STEPS = st.lists(
+STEPS_STRATEGY = st.lists(
     st.one_of(
-        st.tuples(st.just("ask"), st.integers(0, len(CLASSES) - 1), st.integers(1, 400)),
+        st.tuples(st.just("submit"), st.integers(0, len(CLASSES) - 1), st.integers(1, 400)),
         st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome))),
         st.tuples(st.just("wait"), st.integers(0, 300), st.just(0)),
         st.tuples(st.just("leave"), st.integers(0, 50), st.just(0)),
@@ -22,7 +22,7 @@
     ),
     max_size=120,
 )
-OPTIONS = st.builds(
+SETTINGS_STRATEGY = st.builds(
     Settings,
     classes=st.just(CLASSES),
     zone=st.sampled_from(["a", "b", ""]),
@@ -43,53 +43,55 @@
     """Let timers fire and deadlines pass in their order."""
     while True:
         timers = [due for due, _ in driver.timers]
-        deadlines = [due for _, due in driver.open.values()]
-        expiries = [sent.expires for sent in driver.out() if sent.expires]
-        soonest = min([*timers, *deadlines, *expiries], default=until + 1)
-        if soonest > until:
+        deadlines = [due for _, due in driver.unanswered.values()]
+        expiries = [sent.expires for sent in driver.running() if sent.expires]
+        next_time = min([*timers, *deadlines, *expiries], default=until + 1)
+        if next_time > until:
             break
-        driver.now = max(driver.now, soonest)
+        driver.now = max(driver.now, next_time)
         driver.expire()
         for timer in [timer for timer in driver.timers if timer[0] <= driver.now]:
             driver.timers.remove(timer)
-            driver.fire(*timer)
+            driver.fire_timer(*timer)
     driver.now = until
 
 
-def step(driver: Driver, what: str, number: int, detail: object) -> None:
-    if what == "ask":
+def step(driver: Driver, operation: str, number: int, detail: object) -> None:
+    if operation == "submit":
         assert isinstance(detail, int)
-        driver.ask(CLASSES[number], detail * MS, cost=number * 10 * MS, key=f"k{number}")
-    elif what == "wait":
+        driver.submit(CLASSES[number], detail * MS, cost=number * 10 * MS, key=f"k{number}")
+    elif operation == "wait":
         pass_time(driver, driver.now + number * MS)
-    elif what == "end" and driver.out():
+    elif operation == "end" and driver.running():
         assert isinstance(detail, Outcome)
-        driver.end(driver.out()[number % len(driver.out())], detail, {"queue": 1.0, "surprise": 2.0})
-    elif what == "leave" and driver.open:
-        driver.leave(list(driver.open)[number % len(driver.open)])
-    elif what == "change":
+        driver.end_attempt(
+            driver.running()[number % len(driver.running())], detail, {"queue": 1.0, "surprise": 2.0}
+        )
+    elif operation == "leave" and driver.unanswered:
+        driver.disconnect_client(list(driver.unanswered)[number % len(driver.unanswered)])
+    elif operation == "change":
         assert isinstance(detail, State)
         driver.list_servers([Server(number, detail, "ab"[number % 2], cell=number // 2)], Update.CHANGES)
-    elif what == "restart":
-        entry = Server(number, State.READY, "ab"[number % 2], cell=number // 2, started=driver.now)
+    elif operation == "restart":
+        entry = Server(number, State.READY, "ab"[number % 2], cell=number // 2, started_at=driver.now)
         driver.list_servers([entry], Update.CHANGES)
-    elif what == "relist":
+    elif operation == "relist":
         assert isinstance(detail, Update)
         driver.list_servers(servers(number), detail)
-    elif what == "break":
+    elif operation == "break":
         driver.list_servers((), Update.ERROR)
 
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=300)
-@given(OPTIONS, st.integers(0, 6), st.integers(0, 3), STEPS)
-def test_every_request_gets_one_answer_and_no_send_breaks_a_rule(
+@given(SETTINGS_STRATEGY, st.integers(0, 6), st.integers(0, 3), STEPS_STRATEGY)
+def test_every_request_gets_one_answer_and_no_action_breaks_a_rule(
     options: Settings, count: int, seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
     driver = Driver(options, count, seed)
-    for what, number, detail in steps:
-        step(driver, what, number, detail)
+    for operation, number, detail in steps:
+        step(driver, operation, number, detail)
     pass_time(driver, driver.now + SECOND)
-    assert not driver.open
+    assert not driver.unanswered
     assert all(len(answers) == 1 for answers in driver.answers.values())
 
 
@@ -107,21 +109,21 @@
     driver = Driver(options, 4, seed)
     for _ in range(100):
         driver.now += 20 * MS
-        driver.ask(cost=40 * MS)
-        for sent in driver.out():
-            driver.end(sent)
-    driver.list_servers([Server(9, started=driver.now)], Update.CHANGES)
+        driver.submit(cost=40 * MS)
+        for sent in driver.running():
+            driver.end_attempt(sent)
+    driver.list_servers([Server(9, started_at=driver.now)], Update.CHANGES)
     started = driver.now
-    work = {sent.request: 40 for sent in driver.sent}
+    work = {sent.request: 40 for sent in driver.sent_attempts}
     for gap, cost in arrivals:
         pass_time(driver, driver.now + gap * MS)
-        work[driver.ask(cost=cost * MS)] = cost
-        for sent in driver.out():
-            driver.end(sent, Outcome.REJECTED if sent.server == 9 else Outcome.OK)
-    window = options.fall_time
+        work[driver.submit(cost=cost * MS)] = cost
+        for sent in driver.running():
+            driver.end_attempt(sent, Outcome.REJECTED if sent.server == 9 else Outcome.OK)
+    window = options.cold_overload_window
     for start in range(started, driver.now, 500 * MS):
-        at_work = [sent for sent in driver.sent if start <= sent.at < start + window]
-        total = sum(work[sent.request] for sent in at_work)
-        cold = sum(work[sent.request] for sent in at_work if sent.server == 9)
-        warmth = share + (1 - share) * (start + window - started) / options.ramp_time
-        assert cold <= options.fall_multiple * total * warmth / 4 + 2 * 80
+        sends_in_window = [sent for sent in driver.sent_attempts if start <= sent.sent_at < start + window]
+        total_work = sum(work[sent.request] for sent in sends_in_window)
+        cold_work = sum(work[sent.request] for sent in sends_in_window if sent.server == 9)
+        capacity_share = share + (1 - share) * (start + window - started) / options.ramp_time
+        assert cold_work <= options.cold_overload_multiple * total_work * capacity_share / 4 + 2 * 80
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -15,16 +15,25 @@
 import orjson
 import pytest
 
-from tests.control.test_calls import ask as operator_call
+from tests.control.test_calls import control_call as operator_call
 from tests.operator.cases import BASE, CORPUS
-from tests.peers import GENEROUS, Client, Peer, peers, says, scenario, silent, until
-from tests.processes import logged
-from tests.processes import started as running
+from tests.peers import (
+    TEST_TIMEOUT_SECONDS,
+    Client,
+    ScriptedServer,
+    answers_with,
+    async_test,
+    never_answers,
+    scripted_servers,
+    wait_until,
+)
+from tests.processes import running_process as running
+from tests.processes import wait_for_log
 from tests.test_discovery import HEAD, chunk
 from whinrouter.operator.checks import check
 from whinrouter.operator.loading import load
 
-GOOD = sorted((CORPUS / "good").glob("*.toml"))
+GOOD_FILES = sorted((CORPUS / "good").glob("*.toml"))
 PORTS = iter(range(20_000, 30_000))  # below the ephemeral range, as the checks want it
 
 
@@ -40,7 +49,7 @@
     raise AssertionError("no port is free")
 
 
-def lay(folder: Path, host: Peer, service: int = 1) -> dict[str, str]:
+def write_configs(folder: Path, host: ScriptedServer, service: int = 1) -> dict[str, str]:
     """The good configurations in a folder, with this host behind each; what stands for the names in them."""
     port = free_port()
     names = {
@@ -53,7 +62,7 @@
     (folder / "catalogue.toml").write_bytes(BASE.files["catalogue.toml"])
     (folder / "hosts").write_text(f"# the fleet\n{names['HOST']}\n")
     (folder / "app.pid").write_text(f"{os.getpid()}\n")
-    for path in GOOD:
+    for path in GOOD_FILES:
         text = path.read_text()
         for name in sorted(names, key=len, reverse=True):
             text = text.replace(name, names[name])
@@ -61,15 +70,17 @@
     return names
 
 
-def sidecar(path: Path, *more: str) -> AbstractAsyncContextManager[asyncio.subprocess.Process]:
-    return running(sys.executable, "-m", "whinrouter.operator.cli", "run", "--operator", str(path), *more)
+def running_sidecar(path: Path, *arguments: str) -> AbstractAsyncContextManager[asyncio.subprocess.Process]:
+    return running(
+        sys.executable, "-m", "whinrouter.operator.cli", "run", "--operator", str(path), *arguments
+    )
 
 
 async def connect(path: Path) -> Client:
     """A client of the sidecar that a file describes, as soon as it listens."""
     address = load(path).model.listen.address
     assert address is not None
-    async with asyncio.timeout(GENEROUS):
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while True:
             try:
                 if address.path:
@@ -82,45 +93,45 @@
 async def ask(client: Client, method: str, path: str) -> int:
     """A request as an application writes it, which knows nothing of classes or ids."""
     client.writer.write(f"{method} {path} HTTP/1.1\r\nHost: fleet\r\nContent-Length: 0\r\n\r\n".encode())
-    return (await client.answer()).status
+    return (await client.read_answer()).status
 
 
 @asynccontextmanager
-async def discovery(host: Peer) -> AsyncIterator[int]:
+async def discovery(host: ScriptedServer) -> AsyncIterator[int]:
     """A service that tells of this host."""
 
-    async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def send_list(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(HEAD + chunk(line(host)))
         await reader.read()
         writer.close()
 
-    server = await asyncio.start_server(tell, "127.0.0.1", 0)
+    server = await asyncio.start_server(send_list, "127.0.0.1", 0)
     try:
         yield server.sockets[0].getsockname()[1]
     finally:
         server.close()
 
 
-def line(host: Peer) -> bytes:
-    return orjson.dumps({"revision": 1, "complete": True, "members": [host.entry()]}) + b"\n"
+def line(host: ScriptedServer) -> bytes:
+    return orjson.dumps({"revision": 1, "complete": True, "members": [host.discovery_entry()]}) + b"\n"
 
 
 def test_there_are_good_ones_enough() -> None:
-    assert len(GOOD) >= 12
+    assert len(GOOD_FILES) >= 12
 
 
-@pytest.mark.parametrize("name", [path.stem for path in GOOD])
-@scenario
+@pytest.mark.parametrize("name", [path.stem for path in GOOD_FILES])
+@async_test
 async def test_a_good_configuration_starts_and_serves(name: str, tmp_path: Path) -> None:
-    async with peers(says()) as (host,), discovery(host) as service:
-        lay(tmp_path, host, service)
+    async with scripted_servers(answers_with()) as (host,), discovery(host) as service:
+        write_configs(tmp_path, host, service)
         path = tmp_path / f"{name}.toml"
         assert check(load(path)) == []
-        async with sidecar(path) as process:
-            await logged(process, "listens on")
+        async with running_sidecar(path) as process:
+            await wait_for_log(process, "listens on")
             client = await connect(path)
-            async with asyncio.timeout(GENEROUS):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while await ask(client, "GET", "/up") != 200:  # the first list may be on its way
                     await asyncio.sleep(0.01)
             assert await ask(client, "GET", "/page-read/7?page=4") == 200
@@ -133,26 +144,26 @@
         assert len(set(names)) == 2
 
 
-@scenario
+@async_test
 async def test_a_purchase_is_not_sent_again_by_a_sidecar(tmp_path: Path) -> None:
-    async with peers(says(500), silent) as (failing, other):
-        lay(tmp_path, failing)
+    async with scripted_servers(answers_with(500), never_answers) as (failing, other):
+        write_configs(tmp_path, failing)
         (tmp_path / "app.toml").write_text(
             f'include = ["plain.toml"]\n[discovery]\nhosts = ["127.0.0.1:{failing.port}"]\n'
         )
-        async with sidecar(tmp_path / "app.toml") as process:
-            await logged(process, "listens on")
+        async with running_sidecar(tmp_path / "app.toml") as process:
+            await wait_for_log(process, "listens on")
             assert await ask(await connect(tmp_path / "app.toml"), "POST", "/chapter-buy") == 502
         assert len(failing.requests) == 1
         assert not other.requests
 
 
-@scenario
+@async_test
 async def test_what_leads_to_no_class_or_has_another_method_reaches_no_host(tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        lay(tmp_path, host)
-        async with sidecar(tmp_path / "plain.toml") as process:
-            await logged(process, "listens on")
+    async with scripted_servers(answers_with()) as (host,):
+        write_configs(tmp_path, host)
+        async with running_sidecar(tmp_path / "plain.toml") as process:
+            await wait_for_log(process, "listens on")
             for method, path, status in [
                 ("GET", "/unknown", 400),
                 ("GET", "/page-reader", 400),
@@ -165,83 +176,83 @@
         assert not host.requests
 
 
-def started(path: Path, *more: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "whinrouter.operator.cli", "run", "--operator", str(path), *more]
-    return subprocess.run(command, capture_output=True, text=True, timeout=GENEROUS, check=False)
+def run_to_exit(path: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "whinrouter.operator.cli", "run", "--operator", str(path), *arguments]
+    return subprocess.run(command, capture_output=True, text=True, timeout=TEST_TIMEOUT_SECONDS, check=False)
 
 
-@scenario
+@async_test
 async def test_what_the_check_refuses_does_not_start(tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        lay(tmp_path, host)
+    async with scripted_servers(answers_with()) as (host,):
+        write_configs(tmp_path, host)
         path = tmp_path / "bad.toml"
         path.write_text('include = ["plain.toml"]\n[[class]]\nname = "chapter-buy"\neffect = "idempotent"\n')
-        ended = started(path)
-        assert ended.returncode == 1
-        assert f"{path}:4: class.chapter-buy.effect [unsafe-effect]" in ended.stderr
+        completed = run_to_exit(path)
+        assert completed.returncode == 1
+        assert f"{path}:4: class.chapter-buy.effect [unsafe-effect]" in completed.stderr
 
 
-@scenario
+@async_test
 async def test_a_file_that_changed_since_its_check_does_not_start(tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        lay(tmp_path, host)
+    async with scripted_servers(answers_with()) as (host,):
+        write_configs(tmp_path, host)
         path = tmp_path / "small.toml"
         digest = load(path).digest
-        async with sidecar(path, "--digest", digest) as process:
-            await logged(process, "listens on")
+        async with running_sidecar(path, "--digest", digest) as process:
+            await wait_for_log(process, "listens on")
         plain = tmp_path / "plain.toml"
         plain.write_text(plain.read_text() + "\n# changed\n")
-        ended = started(path, "--digest", digest)
-        assert ended.returncode == 1
-        assert "is not what was checked" in ended.stderr
+        completed = run_to_exit(path, "--digest", digest)
+        assert completed.returncode == 1
+        assert "is not what was checked" in completed.stderr
 
 
-@scenario
+@async_test
 async def test_an_address_that_is_taken_is_told(tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        lay(tmp_path, host)
+    async with scripted_servers(answers_with()) as (host,):
+        write_configs(tmp_path, host)
         for name in ("plain", "socket"):
-            async with sidecar(tmp_path / f"{name}.toml") as process:
-                await logged(process, "listens on")
-                ended = started(tmp_path / f"{name}.toml")
-                assert ended.returncode == 2
-                assert "cannot listen on" in ended.stderr
+            async with running_sidecar(tmp_path / f"{name}.toml") as process:
+                await wait_for_log(process, "listens on")
+                completed = run_to_exit(tmp_path / f"{name}.toml")
+                assert completed.returncode == 2
+                assert "cannot listen on" in completed.stderr
 
 
-@scenario
+@async_test
 async def test_a_socket_that_a_killed_sidecar_left_is_taken_over(tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        lay(tmp_path, host)
+    async with scripted_servers(answers_with()) as (host,):
+        write_configs(tmp_path, host)
         path = tmp_path / "socket.toml"
-        async with sidecar(path) as process:
-            await logged(process, "listens on")
+        async with running_sidecar(path) as process:
+            await wait_for_log(process, "listens on")
             process.kill()
             await process.wait()
         assert (tmp_path / "reader.sock").exists()
-        async with sidecar(path) as process:
-            await logged(process, "listens on")
+        async with running_sidecar(path) as process:
+            await wait_for_log(process, "listens on")
             assert await ask(await connect(path), "GET", "/page-read") == 200
 
 
-@scenario
+@async_test
 async def test_a_host_that_leaves_the_file_gets_nothing_more(tmp_path: Path) -> None:
-    async with peers(says(), says()) as (first, second):
-        lay(tmp_path, first)
+    async with scripted_servers(answers_with(), answers_with()) as (first, second):
+        write_configs(tmp_path, first)
         path = tmp_path / "file.toml"
-        async with sidecar(path) as process:
-            await logged(process, "listens on")
+        async with running_sidecar(path) as process:
+            await wait_for_log(process, "listens on")
             client = await connect(path)
-            async with asyncio.timeout(GENEROUS):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while await ask(client, "GET", "/up") != 200:
                     await asyncio.sleep(0.01)
             assert await ask(client, "GET", "/page-read") == 200
             (tmp_path / "hosts").write_text("no address\n")  # broken: the list in hand stays
-            await logged(process, "the list in hand stays")
+            await wait_for_log(process, "the list in hand stays")
             assert await ask(client, "GET", "/page-read") == 200
             beside = tmp_path / "hosts.new"
             beside.write_text(f"127.0.0.1:{second.port}\n")
             beside.rename(tmp_path / "hosts")
-            async with asyncio.timeout(GENEROUS):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while not second.requests:
                     assert await ask(client, "GET", "/page-read") == 200
             seen = len(first.requests)
@@ -250,53 +261,55 @@
             assert len(first.requests) == seen
 
 
-@scenario
+@async_test
 async def test_a_reload_takes_over_hosts_and_refuses_what_is_bad(tmp_path: Path) -> None:
-    async with peers(says(), says()) as (first, second):
-        lay(tmp_path, first)
+    async with scripted_servers(answers_with(), answers_with()) as (first, second):
+        write_configs(tmp_path, first)
         path = tmp_path / "plain.toml"
-        whole = path.read_text()
-        async with sidecar(path) as process:
-            await logged(process, "listens on")
+        original = path.read_text()
+        async with running_sidecar(path) as process:
+            await wait_for_log(process, "listens on")
             client = await connect(path)
             assert await ask(client, "GET", "/page-read") == 200
             path.write_text(
-                whole.replace('name = "chapter-buy"', 'name = "chapter-buy"\neffect = "idempotent"')
+                original.replace('name = "chapter-buy"', 'name = "chapter-buy"\neffect = "idempotent"')
             )
             process.send_signal(signal.SIGHUP)
-            await logged(process, "reload: refused")
-            changed = whole.replace(f"127.0.0.1:{first.port}", f"127.0.0.1:{second.port}")
+            await wait_for_log(process, "reload: refused")
+            changed = original.replace(f"127.0.0.1:{first.port}", f"127.0.0.1:{second.port}")
             path.write_text(changed + "\n[limits]\nclients = 10\n")
             process.send_signal(signal.SIGHUP)
-            await logged(process, "limits.clients: 400 -> 10 (needs a restart)")  # the hosts come with it
+            await wait_for_log(
+                process, "limits.clients: 400 -> 10 (needs a restart)"
+            )  # the hosts come with it
             seen = len(first.requests)
             for _ in range(20):
                 assert await ask(client, "GET", "/page-read") == 200
             assert (len(first.requests), len(second.requests)) == (seen, 20)
 
 
-@scenario
+@async_test
 async def test_a_reload_takes_classes_over_and_calls_are_taken(tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        lay(tmp_path, host)
+    async with scripted_servers(answers_with()) as (host,):
+        write_configs(tmp_path, host)
         path = tmp_path / "plain.toml"
-        calls = free_port()
-        whole = path.read_text().replace("[listen]\n", f'[listen]\ncontrol = "127.0.0.1:{calls}"\n')
-        path.write_text(whole)
-        async with sidecar(path) as process:
-            await logged(process, "takes calls on")
-            await logged(process, "listens on")
+        control_port = free_port()
+        original = path.read_text().replace("[listen]\n", f'[listen]\ncontrol = "127.0.0.1:{control_port}"\n')
+        path.write_text(original)
+        async with running_sidecar(path) as process:
+            await wait_for_log(process, "takes calls on")
+            await wait_for_log(process, "listens on")
             client = await connect(path)
             assert await ask(client, "GET", "/page-read") == 200
-            assert (await operator_call(calls, f"OFFLINE 127.0.0.1:{host.port}")).startswith("+OK")
+            assert (await operator_call(control_port, f"OFFLINE 127.0.0.1:{host.port}")).startswith("+OK")
             assert await ask(client, "GET", "/page-read") == 503
-            assert (await operator_call(calls, f"ONLINE 127.0.0.1:{host.port}")).startswith("+OK")
-            async with asyncio.timeout(GENEROUS):
+            assert (await operator_call(control_port, f"ONLINE 127.0.0.1:{host.port}")).startswith("+OK")
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while await ask(client, "GET", "/page-read") != 200:
                     await asyncio.sleep(0.01)
-            path.write_text(whole + '\n[[class]]\nname = "gift"\n')
+            path.write_text(original + '\n[[class]]\nname = "gift"\n')
             process.send_signal(signal.SIGHUP)
-            await logged(process, "settings: ")
+            await wait_for_log(process, "settings: ")
             assert await ask(client, "POST", "/gift") == 200
 
 
@@ -309,16 +322,16 @@
     return process
 
 
-@scenario
+@async_test
 async def test_a_sidecar_takes_no_work_while_its_application_is_gone(tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        lay(tmp_path, host)
+    async with scripted_servers(answers_with()) as (host,):
+        write_configs(tmp_path, host)
         path = tmp_path / "beside.toml"
         (tmp_path / "app.pid").write_text("999999999\n")
-        async with sidecar(path) as process:
+        async with running_sidecar(path) as process:
             address = load(path).model.listen.address
             assert address is not None
-            await logged(process, "digest")
+            await wait_for_log(process, "digest")
             with pytest.raises(OSError, match="onnect"):
                 await asyncio.open_connection(address.host, address.port)
             for _ in range(2):  # it comes, is killed, comes back
@@ -327,39 +340,39 @@
                 assert await ask(client, "GET", "/page-read") == 200
                 app.kill()
                 app.wait()
-                assert await client.rest() == b""  # its idle connection is closed
+                assert await client.read_to_end() == b""  # its idle connection is closed
                 with pytest.raises(OSError, match="onnect"):
                     await asyncio.open_connection(address.host, address.port)
             assert process.returncode is None
 
 
-@scenario
+@async_test
 async def test_a_sidecar_ends_with_its_application_if_it_is_to(tmp_path: Path) -> None:
-    async with peers(says()) as (host,):
-        lay(tmp_path, host)
+    async with scripted_servers(answers_with()) as (host,):
+        write_configs(tmp_path, host)
         path = tmp_path / "ends.toml"
         app = application(tmp_path)
-        async with sidecar(path) as process:
-            await logged(process, "listens on")
+        async with running_sidecar(path) as process:
+            await wait_for_log(process, "listens on")
             assert await ask(await connect(path), "GET", "/page-read") == 200
             app.kill()
             app.wait()
-            async with asyncio.timeout(GENEROUS):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 assert await process.wait() == 0
 
 
-@scenario
+@async_test
 async def test_a_request_in_work_is_answered_before_the_end(tmp_path: Path) -> None:
-    async with peers(silent) as (host,):
-        lay(tmp_path, host)
+    async with scripted_servers(never_answers) as (host,):
+        write_configs(tmp_path, host)
         path = tmp_path / "plain.toml"
-        async with sidecar(path) as process:
-            await logged(process, "listens on")
+        async with running_sidecar(path) as process:
+            await wait_for_log(process, "listens on")
             client = await connect(path)
             client.writer.write(b"POST /chapter-buy HTTP/1.1\r\nHost: fleet\r\nContent-Length: 0\r\n\r\n")
-            await until(lambda: host.requests)
+            await wait_until(lambda: host.requests)
             process.send_signal(signal.SIGTERM)
-            await logged(process, "stopping: 1 requests held")
-            await says()(host.requests[0], host.askers[0])
-            assert (await client.answer()).status == 200
+            await wait_for_log(process, "stopping: 1 requests held")
+            await answers_with()(host.requests[0], host.request_writers[0])
+            assert (await client.read_answer()).status == 200
             assert await process.wait() == 0
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -20,16 +20,16 @@
 
 import pytest
 
-from tests.peers import GENEROUS, peers, scenario, silent, until
-from tests.processes import logged, started
-from tests.test_program import is_up, port_of, told, write
+from tests.peers import TEST_TIMEOUT_SECONDS, async_test, never_answers, scripted_servers, wait_until
+from tests.processes import running_process, wait_for_log
+from tests.test_program import listen_port, platform_config, up_status, write_config
 from tests.test_project import ROOT
-from tests.test_sidecar import connect, lay, sidecar
+from tests.test_sidecar import connect, running_sidecar, write_configs
 from whinrouter.coalesced import CoalescedCall
 
 SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT)
-TIMES = 3
-SERIES_EVERY = 0.002  # seconds between two signals of a series
+ROUNDS = 3
+SERIES_INTERVAL_SECONDS = 0.002  # seconds between two signals of a series
 
 
 def _command() -> str:
@@ -41,28 +41,30 @@
 
 @asynccontextmanager
 async def _gateway(folder: Path) -> AsyncIterator[asyncio.subprocess.Process]:
-    async with peers(silent) as (service,):
-        kept = {name: os.environ[name] for name in ("PYTHONPATH", "PYTHONSAFEPATH") if name in os.environ}
+    async with scripted_servers(never_answers) as (service,):
+        inherited = {
+            name: os.environ[name] for name in ("PYTHONPATH", "PYTHONSAFEPATH") if name in os.environ
+        }
         environment = {
-            **kept,
-            "PROXY_CONFIG": str(write(folder, told(service.port))),
+            **inherited,
+            "PROXY_CONFIG": str(write_config(folder, platform_config(service.port))),
             "PATH": os.environ["PATH"],
         }
-        async with started("/bin/sh", "-c", _command(), environment=environment) as process:
+        async with running_process("/bin/sh", "-c", _command(), environment=environment) as process:
             yield process
 
 
-def _holds(process: asyncio.subprocess.Process, number: signal.Signals) -> bool:
+def _blocks(process: asyncio.subprocess.Process, signal_number: signal.Signals) -> bool:
     """Whether what was started holds this signal back, as the system tells.
 
     The shell before it does so too for an instant, while it forks; only what it execs does so to stay.
     """
     lines = Path(f"/proc/{process.pid}/status").read_text().splitlines()
-    told = dict(line.split(":\t", 1) for line in lines if ":\t" in line)
-    return told["Name"] != "sh" and bool(int(told["SigBlk"], 16) >> (number - 1) & 1)
+    status = dict(line.split(":\t", 1) for line in lines if ":\t" in line)
+    return status["Name"] != "sh" and bool(int(status["SigBlk"], 16) >> (signal_number - 1) & 1)
 
 
-async def _series(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
+async def _send_repeatedly(process: asyncio.subprocess.Process, signal_number: signal.Signals) -> None:
     """One signal after the other for as long as the process is there.
 
     By its number: `Popen.send_signal` looks whether it has ended, and would take its exit status from whoever
@@ -70,94 +72,98 @@
     """
     with contextlib.suppress(ProcessLookupError):
         while process.returncode is None:
-            os.kill(process.pid, number)
-            await asyncio.sleep(SERIES_EVERY)
+            os.kill(process.pid, signal_number)
+            await asyncio.sleep(SERIES_INTERVAL_SECONDS)
 
 
-async def _ended(process: asyncio.subprocess.Process) -> int:
-    async with asyncio.timeout(GENEROUS):
+async def _exit_status(process: asyncio.subprocess.Process) -> int:
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         return await process.wait()
 
 
-@pytest.mark.parametrize("number", SIGNALS)
-@scenario
-async def test_no_series_of_signals_during_the_end_ends_it(tmp_path: Path, number: signal.Signals) -> None:
-    for _ in range(TIMES):
+@pytest.mark.parametrize("signal_number", SIGNALS)
+@async_test
+async def test_no_series_of_signals_during_the_end_ends_it(
+    tmp_path: Path, signal_number: signal.Signals
+) -> None:
+    for _ in range(ROUNDS):
         async with _gateway(tmp_path) as process:
-            await port_of(process)
+            await listen_port(process)
             process.send_signal(signal.SIGTERM)
-            series = asyncio.get_running_loop().create_task(_series(process, number))
-            assert await _ended(process) == 0
-            await series
+            sender = asyncio.get_running_loop().create_task(_send_repeatedly(process, signal_number))
+            assert await _exit_status(process) == 0
+            await sender
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1])
-@scenario
-async def test_no_series_from_its_first_instants_on_ends_it(tmp_path: Path, number: signal.Signals) -> None:
-    for _ in range(TIMES):
+@pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGUSR1])
+@async_test
+async def test_no_series_from_its_first_instants_on_ends_it(
+    tmp_path: Path, signal_number: signal.Signals
+) -> None:
+    for _ in range(ROUNDS):
         async with _gateway(tmp_path) as process:
-            await until(lambda: _holds(process, signal.SIGTERM))
-            series = asyncio.get_running_loop().create_task(_series(process, number))
-            assert await is_up(await port_of(process)) == 503
+            await wait_until(lambda: _blocks(process, signal.SIGTERM))
+            sender = asyncio.get_running_loop().create_task(_send_repeatedly(process, signal_number))
+            assert await up_status(await listen_port(process)) == 503
             process.send_signal(signal.SIGTERM)
-            assert await _ended(process) == 0
-            await series
+            assert await _exit_status(process) == 0
+            await sender
 
 
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-@scenario
+@pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGINT])
+@async_test
 async def test_an_end_that_is_asked_for_in_the_first_instants_is_an_end_in_order(
-    tmp_path: Path, number: signal.Signals
+    tmp_path: Path, signal_number: signal.Signals
 ) -> None:
     """It is held until the process can act on it, and not lost."""
-    for _ in range(TIMES):
+    for _ in range(ROUNDS):
         async with _gateway(tmp_path) as process:
-            await until(lambda: _holds(process, signal.SIGTERM))
-            process.send_signal(number)
-            await logged(process, "stopping")
-            assert await _ended(process) == 0
+            await wait_until(lambda: _blocks(process, signal.SIGTERM))
+            process.send_signal(signal_number)
+            await wait_for_log(process, "stopping")
+            assert await _exit_status(process) == 0
 
 
-@scenario
+@async_test
 async def test_no_series_during_its_end_ends_a_sidecar(tmp_path: Path) -> None:
-    async with peers(silent) as (host,):
-        lay(tmp_path, host)
-        for number in SIGNALS:
-            async with sidecar(tmp_path / "plain.toml") as process:
+    async with scripted_servers(never_answers) as (host,):
+        write_configs(tmp_path, host)
+        for signal_number in SIGNALS:
+            async with running_sidecar(tmp_path / "plain.toml") as process:
                 client = await connect(tmp_path / "plain.toml")
                 client.close()
                 process.send_signal(signal.SIGTERM)
-                series = asyncio.get_running_loop().create_task(_series(process, number))
-                assert await _ended(process) == 0
-                await series
+                sender = asyncio.get_running_loop().create_task(_send_repeatedly(process, signal_number))
+                assert await _exit_status(process) == 0
+                await sender
 
 
-@scenario
+@async_test
 async def test_calls_that_are_asked_for_in_a_series_are_made_seldom_and_the_last_is_made() -> None:
     loop, made = asyncio.get_running_loop(), []
-    call = CoalescedCall(loop, lambda: made.append(asked), every=0.05)
+    call = CoalescedCall(loop, lambda: made.append(asked), interval=0.05)
     for asked in range(100):  # noqa: B007 - what the call sees
-        call.ask()
+        call.request()
     assert made == [0], "the first at once"
-    await until(lambda: len(made) == 2)
+    await wait_until(lambda: len(made) == 2)
     assert made[-1] == 99, "and one for all the others"
-    call.ask()
+    call.request()
     call.stop()
     await asyncio.sleep(0.1)
     assert len(made) == 2
 
 
-@scenario
+@async_test
 async def test_a_series_that_asks_for_events_does_not_hold_up_requests(tmp_path: Path) -> None:
     """Found by the soak: each SIGUSR1 wrote thousands of lines, and answers came 0.6 s late."""
     async with _gateway(tmp_path) as process:
-        port = await port_of(process)
-        assert await is_up(port) == 503
+        port = await listen_port(process)
+        assert await up_status(port) == 503
         for _ in range(200):
             os.kill(process.pid, signal.SIGUSR1)
-            await asyncio.sleep(SERIES_EVERY)
+            await asyncio.sleep(SERIES_INTERVAL_SECONDS)
         process.send_signal(signal.SIGTERM)
         assert process.stderr is not None
-        told = (await process.stderr.read()).decode()
-        assert await _ended(process) == 0
-        assert 1 <= told.count("events; invariants violated") <= 4
+        log_text = (await process.stderr.read()).decode()
+        assert await _exit_status(process) == 0
+        assert 1 <= log_text.count("events; invariants violated") <= 4
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.peers import scenario, until
-from whinrouter.net.timer_wheel import TICK, Timer, Wheel
+from tests.peers import async_test, wait_until
+from whinrouter.net.timer_wheel import TICK, Timer, TimerWheel
 
 
 class Loop:
@@ -55,9 +55,9 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(steps, max_size=40))
-def test_each_fires_once_within_a_tick_unless_cancelled(script: list[tuple[str, float]]) -> None:
+def test_each_timer_fires_once_within_a_tick_unless_cancelled(script: list[tuple[str, float]]) -> None:
     loop = Loop()
-    wheel = Wheel(loop)  # type: ignore[arg-type]
+    wheel = TimerWheel(loop)  # type: ignore[arg-type]
     fired: dict[int, float] = {}
     timers: list[Timer] = []
     due: list[float] = []
@@ -67,11 +67,11 @@
         assert number not in fired
         fired[number] = loop.now
 
-    for what, amount in script:
-        if what == "set":
+    for action, amount in script:
+        if action == "set":
             due.append(loop.now + amount)
             timers.append(wheel.call_later(amount, fire, len(timers)))
-        elif what == "cancel" and timers:
+        elif action == "cancel" and timers:
             number = int(amount * (len(timers) - 1))
             timers[number].cancel()
             if number not in fired:
@@ -86,50 +86,50 @@
     assert not wheel._order
 
 
-@scenario
-async def test_on_a_real_loop_a_fault_of_one_call_is_not_the_next_one_s(
+@async_test
+async def test_failing_callback_does_not_stop_the_next_one(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    wheel, fired = Wheel(asyncio.get_running_loop()), list[int]()
+    wheel, fired = TimerWheel(asyncio.get_running_loop()), list[int]()
 
-    def fault() -> None:
+    def fail() -> None:
         raise RuntimeError("a fault of this test")
 
-    wheel.call_later(0.01, fault)
+    wheel.call_later(0.01, fail)
     wheel.call_later(0.01, fired.append, 1)
     wheel.call_later(0, fired.append, 0)
-    await until(lambda: len(fired) == 2)
+    await wait_until(lambda: len(fired) == 2)
     assert fired == [0, 1]
     assert "a fault of this test" in caplog.text
 
 
-@scenario
-async def test_a_timer_set_by_a_timer_fires() -> None:
-    wheel, fired = Wheel(asyncio.get_running_loop()), list[int]()
+@async_test
+async def test_timer_set_by_a_callback_fires() -> None:
+    wheel, fired = TimerWheel(asyncio.get_running_loop()), list[int]()
     wheel.call_later(0.005, lambda: wheel.call_later(0, fired.append, 1))
-    await until(lambda: fired)
+    await wait_until(lambda: fired)
 
 
-@scenario
-async def test_a_cancelled_timer_holds_nothing() -> None:
-    class Held:
+@async_test
+async def test_cancelled_timer_keeps_no_references() -> None:
+    class Referenced:
         pass
 
-    held = Held()
-    seen = weakref.ref(held)
-    timer = Wheel(asyncio.get_running_loop()).call_later(60, print, held)
-    del held
+    target = Referenced()
+    reference = weakref.ref(target)
+    timer = TimerWheel(asyncio.get_running_loop()).call_later(60, print, target)
+    del target
     gc.collect()
-    assert seen() is not None
+    assert reference() is not None
     timer.cancel()
     gc.collect()
-    assert seen() is None
+    assert reference() is None
 
 
-def test_a_call_that_sets_the_next_timer_ends_nothing() -> None:
+def test_callback_may_set_the_next_timer() -> None:
     """Compiled, the wheel's turn raised behind such a call."""
     loop = Loop()
-    wheel = Wheel(loop)  # type: ignore[arg-type]
+    wheel = TimerWheel(loop)  # type: ignore[arg-type]
     fired: list[float] = []
 
     def again() -> None:
@@ -140,4 +140,4 @@
     wheel.call_later(TICK, again)
     loop.advance(1.0)
     assert len(fired) == 3
-    assert not wheel.armed
+    assert not wheel.is_armed
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -41,13 +41,13 @@
 
 
 def upload(balancer: Balancer, now: int = SECOND) -> Send:
-    (sent,) = sends(balancer.handle(Request(UPLOAD, BUY.name, TIMEOUT, streams=True), now))
+    (sent,) = sends(balancer.handle(Request(UPLOAD, BUY.name, TIMEOUT, streams_body=True), now))
     return sent
 
 
 def in_flight(balancer: Balancer) -> int:
-    assert balancer._out == sum(host.in_flight for host in balancer._hosts.values())
-    return balancer._out
+    assert balancer._total_in_flight == sum(host.in_flight for host in balancer._hosts.values())
+    return balancer._total_in_flight
 
 
 def test_an_upload_on_its_way_takes_no_place_of_others() -> None:
--- a/whinrouter/__main__.py
+++ b/whinrouter/__main__.py
@@ -9,7 +9,7 @@
 
 def main() -> int:
     """Run the gateway as the platform tells it; the exit status."""
-    signals.hold()
+    signals.block()
     from whinrouter.platform_gateway import main as gateway  # noqa: PLC0415 - after signals are held
 
     return gateway()
