--- a/whinrouter/balance.py
+++ b/whinrouter/balance.py
@@ -13,50 +13,52 @@
 
 from whinrouter.breaker import Breaker
 from whinrouter.server_state import (
-    FIRST_LIMIT, LAST_LIMIT, LEAST_FIRST_LIMIT, RECALL, RECALL_ANSWERS, Host,
+    INITIAL_LIMIT, MIN_LIMIT, MIN_INITIAL_LIMIT, LATENCY_MEMORY, LATENCY_MEMORY_ANSWERS, ServerState,
 )  # fmt: skip
 from whinrouter.interface import (
-    SECOND, Action, Attempt, AttemptEnded, BodyReceived, Cancel, Effect, Event, Fail, Outcome, Pending,
+    SECOND, Action, Attempt, AttemptEnded, BodyReceived, Cancel, Effect, Event, Fail, Outcome, PendingRequest,
     Refuse, Request, RequestAdopted, RequestClass, RequestGone, RequestId, Scope, Send, Server, ServerId,
     ServerList, SetTimer, Settings, State, StreamStarted, Subscribe, TimerFired, Update,
 )  # fmt: skip
-from whinrouter.learned_state import Learnt, age_of, moment_of
-from whinrouter.shedding import Shedding
-from whinrouter.slowstart import BASE_PART, SAVED_PART, SlowStart
+from whinrouter.learned_state import LearnedState, age_of, moment_of
+from whinrouter.shedding import LoadShedder
+from whinrouter.slowstart import BASE_RATE_FRACTION, TOKEN_LIFETIME_FRACTION, SlowStart
 
-OPEN_SHARE = 0.5  # no closed breaker counts a failure while this share of them is open
-CLASS_OPEN_SHARE = 0.75  # likewise of the breakers for a class; the servers still serve the others
+MAX_OPEN_SHARE = 0.5  # no closed breaker counts a failure while this share of them is open
+MAX_CLASS_OPEN_SHARE = 0.75  # likewise of the breakers for a class; the servers still serve the others
 
-FAN_IN = 20  # balancers that share a server, where there are more
-LEAST_SUBSET = 4  # servers that a balancer keeps to at least
+BALANCERS_PER_SERVER = 20  # balancers that share a server, where there are more
+MIN_SUBSET_SERVERS = 4  # servers that a balancer keeps to at least
 
-TARGET = 0.5  # share of the aim within which answers come in while a server has room
-SCATTER = 2.0  # typical times within which answers may come in for no other reason than their own scatter
+TARGET_AIM_SHARE = 0.5  # share of the aim within which answers come in while a server has room
+SCATTER_MULTIPLE = (
+    2.0  # typical times within which answers may come in for no other reason than their own scatter
+)
 
-LATE = 0.005  # share of the attempts of a class that are out past its mark, and so late
+LATE_SHARE = 0.005  # share of the attempts of a class that are out past its mark, and so late
 # Its mark, in usual times. How far a class's own answers scatter differs by deployment: at 2.5 usual times
 # one in six of an exponential kind was late, and three in a row opened the breakers of hosts that were well.
-FIRST_MARK, LEAST_MARK = 4.0, 2.0
-MARK_STEP = 0.2  # by which one attempt that is out past its mark moves it
-EXTRA_SHARE = 0.1  # retry budget: attempts past the fallback, and hedges, for each request on average
-EXTRA_BURST = 20.0  # saved up at most, by all balancers together
-STEP = 1.04  # by which the usual time follows each answer
-PACE_STEP = 1.02  # and the pace of a kind, which all of its servers share
-GAP_STEP = 0.05  # and the mean time between two answers
+INITIAL_LATE_MULTIPLE, MIN_LATE_MULTIPLE = 4.0, 2.0
+LATE_MULTIPLE_STEP = 0.2  # by which one attempt that is out past its mark moves it
+RETRY_BUDGET_SHARE = 0.1  # retry budget: attempts past the fallback, and hedges, for each request on average
+RETRY_BUDGET_BURST = 20.0  # saved up at most, by all balancers together
+LATENCY_STEP = 1.04  # by which the usual time follows each answer
+KIND_RATIO_STEP = 1.02  # and the pace of a kind, which all of its servers share
+ANSWER_GAP_STEP = 0.05  # and the mean time between two answers
 
-RATE_WINDOW = 2 * SECOND  # over which the work that servers did is averaged
-SUM_EVERY = 100_000  # not at every look: with a hundred cold servers that overran the CPU share
+WORK_WINDOW = 2 * SECOND  # over which the work that servers did is averaged
+WARM_SUM_INTERVAL = 100_000  # not at every look: with a hundred cold servers that overran the CPU share
 
 # A time-out is none: the client's own limit cut it short. Being late is judged before, by peers.
-FAILURES = {Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.UNKNOWN}
+SERVER_FAILURES = {Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.UNKNOWN}
 # What says nothing of load: where the way to the hosts broke one connection in ten, all limits stood at their
 # least and half of the requests were refused.
-NO_LOAD = {Outcome.CANCELLED, Outcome.RESET, Outcome.LOCAL_FAILURE}
+LOAD_NEUTRAL_OUTCOMES = {Outcome.CANCELLED, Outcome.RESET, Outcome.LOCAL_FAILURE}
 # Connections that never come up or break tell of the host or the way to it, not of what was asked.
 CLASS_FAILURES = {Outcome.ERROR, Outcome.REJECTED, Outcome.UNKNOWN}
 
 
-def _rank(key: str, server: ServerId) -> bytes:
+def _hash_rank(key: str, server: ServerId) -> bytes:
     return blake2b(f"{key} {server}".encode(), digest_size=8).digest()
 
 
@@ -64,27 +66,42 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._random = Random(seed)
-        self._classes = {kind.name: kind for kind in settings.classes}
-        self._hosts: dict[ServerId, Host] = {}  # those that may be sent to
-        self._pending: dict[RequestId, Pending] = {}
-        self._served: dict[str, float] = {}  # work done by each kind of server, averaged
-        self._counted = 0
-        self._spare = self._most_spare = max(1.0, EXTRA_BURST / settings.balancers)  # extra attempts
-        self._warm: dict[str, float] = {}  # servers of each kind, counted by warmth
-        self._summed = -SUM_EVERY
-        self._shed = Shedding(settings)
-        self._order: list[Host] = []  # its own, for drawing at random
-        self._mine: set[Host] = set()  # likewise, for looking up
-        self._crowded = False  # so many balancers that one's part of a host may be less than a request
-        self._out, self._limits = 0, 0.0  # sums over the hosts, counted anew with each list
-        self._here: list[Host] = []  # those of them in this balancer's zone
-        self._spill: list[Host] = []  # those outside its subset, in the order in which they stand in
-        self._patience: dict[str, int] = {}  # the longest time a client has left to its first try, by class
-        self._usual: dict[str, float] = {}  # median time of an answer by class, for each unit of cost
-        self._typical: dict[str, float] = {}  # likewise, whatever the cost
-        self._paces: dict[str, float] = {}  # median time of an answer of a kind of server, against the usual
-        self._gap, self._heard = 0.0, 0  # mean time between two answers, and when the last one came
-        self._marks: dict[str, float] = {}  # by class, the multiple of it after which an attempt is late
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
+        self._hosts: dict[ServerId, ServerState] = {}  # those that may be sent to
+        self._pending: dict[RequestId, PendingRequest] = {}
+        self._work_done: dict[str, float] = {}  # work done by each kind of server, averaged
+        self._work_counted_at = 0
+        self._retry_budget = self._max_retry_budget = max(
+            1.0, RETRY_BUDGET_BURST / settings.balancers
+        )  # extra attempts
+        self._warm_servers: dict[str, float] = {}  # servers of each kind, counted by warmth
+        self._warm_summed_at = -WARM_SUM_INTERVAL
+        self._shedder = LoadShedder(settings)
+        self._subset: list[ServerState] = []  # its own, for drawing at random
+        self._subset_members: set[ServerState] = set()  # likewise, for looking up
+        self._limits_are_pooled = (
+            False  # so many balancers that one's part of a host may be less than a request
+        )
+        self._total_in_flight, self._total_limit = 0, 0.0  # sums over the hosts, counted anew with each list
+        self._subset_in_zone: list[ServerState] = []  # those of them in this balancer's zone
+        self._reserve: list[ServerState] = []  # those outside its subset, in the order in which they stand in
+        self._longest_timeouts: dict[
+            str, int
+        ] = {}  # the longest time a client has left to its first try, by class
+        self._unit_latencies: dict[
+            str, float
+        ] = {}  # median time of an answer by class, for each unit of cost
+        self._median_latencies: dict[str, float] = {}  # likewise, whatever the cost
+        self._kind_latency_ratios: dict[
+            str, float
+        ] = {}  # median time of an answer of a kind of server, against the usual
+        self._answer_gap, self._last_answer_at = (
+            0.0,
+            0,
+        )  # mean time between two answers, and when the last one came
+        self._late_multiples: dict[
+            str, float
+        ] = {}  # by class, the multiple of it after which an attempt is late
 
     @property
     def settings(self) -> Settings:
@@ -95,265 +112,332 @@
         if isinstance(event, Request):
             return self._on_request(event, now)
         if isinstance(event, AttemptEnded):
-            return self._on_end(event, now)
+            return self._on_attempt_ended(event, now)
         if isinstance(event, ServerList):
-            return self._on_servers(event, now)
+            return self._on_server_list(event, now)
         if isinstance(event, TimerFired):
-            return [Subscribe()] if event.token == "subscribe" else self._on_late(event.token, now)
+            return [Subscribe()] if event.token == "subscribe" else self._on_late_timer(event.token, now)
         if isinstance(event, StreamStarted):
-            return self._on_stream(event, now)
+            return self._on_stream_started(event, now)
         if isinstance(event, BodyReceived):
-            return self._on_body(event, now)
+            return self._on_body_received(event, now)
         if isinstance(event, RequestAdopted):
             return self._on_adopted(event, now)
         pending = self._pending.get(event.request) if isinstance(event, RequestGone) else None
-        return self._settle(pending) if pending else []
+        return self._finish(pending) if pending else []
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Go on by other settings. Requests under way keep their class, and get no more attempts than either.
 
         What was learnt of hosts stays, as it is theirs; what was learnt of a class goes with the class.
         """
         self._settings = settings
-        self._classes = {kind.name: kind for kind in settings.classes}
-        for learnt in (self._patience, self._usual, self._typical, self._marks):
-            for name in [name for name in learnt if name not in self._classes]:
-                del learnt[name]
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
+        for per_class in (
+            self._longest_timeouts,
+            self._unit_latencies,
+            self._median_latencies,
+            self._late_multiples,
+        ):
+            for class_name in [class_name for class_name in per_class if class_name not in self._classes]:
+                del per_class[class_name]
         for host in self._hosts.values():
-            host.classes = {name: known for name, known in host.classes.items() if name in self._classes}
-        self._shed = self._shed.retuned(settings)
-        self._most_spare = max(1.0, EXTRA_BURST / settings.balancers)
-        self._spare = min(self._spare, self._most_spare)
-        self._arrange([])
-
-    def learnt(self, now: int) -> Learnt:
+            host.class_breakers = {
+                class_name: breaker
+                for class_name, breaker in host.class_breakers.items()
+                if class_name in self._classes
+            }
+        self._shedder = self._shedder.with_settings(settings)
+        self._max_retry_budget = max(1.0, RETRY_BUDGET_BURST / settings.balancers)
+        self._retry_budget = min(self._retry_budget, self._max_retry_budget)
+        self._update_subset([])
+
+    def export_state(self, now: int) -> LearnedState:
         """What another balancer in this one's place goes on from, in spans from now."""
-        hosts = tuple(host.learnt(now) for host in self._hosts.values())
-        usual, typical, marks = dict(self._usual), dict(self._typical), dict(self._marks)
-        patience, served, (share, signed) = dict(self._patience), dict(self._served), self._shed.state()
-        counted, sign_age = age_of(self._counted, now), age_of(signed, now)
-        return Learnt(hosts, usual, typical, marks, patience, served, counted, share, sign_age)
-
-    def resume(self, learnt: Learnt, part: float, now: int) -> None:
+        servers = tuple(host.export_state(now) for host in self._hosts.values())
+        unit_latencies, median_latencies, late_multiples = (
+            dict(self._unit_latencies),
+            dict(self._median_latencies),
+            dict(self._late_multiples),
+        )
+        longest_timeouts, work_done, (admitted_share, last_result_at) = (
+            dict(self._longest_timeouts),
+            dict(self._work_done),
+            self._shedder.export_state(),
+        )
+        work_age, admitted_share_age = age_of(self._work_counted_at, now), age_of(last_result_at, now)
+        return LearnedState(
+            servers,
+            unit_latencies,
+            median_latencies,
+            late_multiples,
+            longest_timeouts,
+            work_done,
+            work_age,
+            admitted_share,
+            admitted_share_age,
+        )
+
+    def restore_state(self, learned: LearnedState, share: float, now: int) -> None:
         """Go on from what another learnt of the same servers, for a part of its requests."""
-        for known in learnt.hosts:
-            host = self._hosts.get(known.server)
-            if host is not None and host.info.started == moment_of(known.age, now):
-                host.resume(known, part, now)
-        told = (learnt.usual, self._usual), (learnt.typical, self._typical), (learnt.marks, self._marks)
-        for theirs, ours in told:
-            ours.update({name: value for name, value in theirs.items() if name in self._classes})
-        self._patience.update(learnt.patience)
-        self._served = {kind: work * part for kind, work in learnt.served.items()}
-        self._counted = moment_of(learnt.counted, now)
-        self._shed.resume(learnt.share, moment_of(learnt.signed, now))
-        self._allot([])
-
-    def scale(self, by: float) -> None:
+        for server in learned.servers:
+            host = self._hosts.get(server.server_id)
+            if host is not None and host.info.started_at == moment_of(server.age, now):
+                host.restore_state(server, share, now)
+        tables = (
+            (learned.unit_latencies, self._unit_latencies),
+            (learned.median_latencies, self._median_latencies),
+            (learned.late_multiples, self._late_multiples),
+        )
+        for source, target in tables:
+            target.update({name: value for name, value in source.items() if name in self._classes})
+        self._longest_timeouts.update(learned.longest_timeouts)
+        self._work_done = {kind: work * share for kind, work in learned.work_done.items()}
+        self._work_counted_at = moment_of(learned.work_age, now)
+        self._shedder.restore_state(learned.admitted_share, moment_of(learned.admitted_share_age, now))
+        self._assign_limits([])
+
+    def scale_limits(self, factor: float) -> None:
         """It has so many times the requests that it had: so has each server's limit."""
         for host in self._hosts.values():
-            host.limit = max(host.least, host.limit * by)
-        self._allot([])
+            host.limit = max(host.min_limit, host.limit * factor)
+        self._assign_limits([])
 
-    def _on_servers(self, event: ServerList, now: int) -> list[Action]:
-        asks = self._settings.must_subscribe
+    def _on_server_list(self, event: ServerList, now: int) -> list[Action]:
+        subscribes = self._settings.must_subscribe
         if event.update is Update.ERROR:  # the list in hand stays in force; ask again, not all at once
-            return [SetTimer(round(SECOND * self._random.uniform(0.5, 1.5)), "subscribe")] if asks else []
-        named = {server.id: server for server in event.servers}
-        met: list[Host] = []
+            return (
+                [SetTimer(round(SECOND * self._random.uniform(0.5, 1.5)), "subscribe")] if subscribes else []
+            )
+        listed = {server.id: server for server in event.servers}
+        new_hosts: list[ServerState] = []
         if event.update is not Update.CHANGES:
-            self._hosts = {server: host for server, host in self._hosts.items() if server in named}
-        for server, info in named.items():
-            known = self._hosts.get(server)
-            if info.state is not State.READY:
-                self._hosts.pop(server, None)
+            self._hosts = {server_id: host for server_id, host in self._hosts.items() if server_id in listed}
+        for server_id, server in listed.items():
+            host = self._hosts.get(server_id)
+            if server.state is not State.READY:
+                self._hosts.pop(server_id, None)
                 continue
-            if known is None or known.info.started != info.started:
+            if host is None or host.info.started_at != server.started_at:
                 # A restarted server is a new one: cold, and its breaker fresh.
-                known = self._hosts[server] = Host(info, self._random, Breaker(self._random), SlowStart(now))
-                met.append(known)
+                host = self._hosts[server_id] = ServerState(
+                    server, self._random, Breaker(self._random), SlowStart(now)
+                )
+                new_hosts.append(host)
             else:
-                known.info = info
-            if self._settings.sized and info.weight > 0:
-                known.size = info.weight
-        self._summed = now - SUM_EVERY
-        self._arrange(met)
-        return [Subscribe()] if asks and event.update is Update.STALE else []
-
-    def _arrange(self, met: list[Host]) -> None:
-        self._allot(met)
-        self._order, self._spill = self._subset()
-        self._mine = set(self._order)
-        self._here = [host for host in self._order if host.info.zone == self._settings.zone]
-
-    def _allot(self, met: list[Host]) -> None:
+                host.info = server
+            if self._settings.weight_is_capacity and server.weight > 0:
+                host.capacity = server.weight
+        self._warm_summed_at = now - WARM_SUM_INTERVAL
+        self._update_subset(new_hosts)
+        return [Subscribe()] if subscribes and event.update is Update.STALE else []
+
+    def _update_subset(self, new_hosts: list[ServerState]) -> None:
+        self._assign_limits(new_hosts)
+        self._subset, self._reserve = self._compute_subset()
+        self._subset_members = set(self._subset)
+        self._subset_in_zone = [host for host in self._subset if host.info.zone == self._settings.zone]
+
+    def _assign_limits(self, new_hosts: list[ServerState]) -> None:
         """Give each server its bounds, by its size among those there are, and those just met their limits."""
-        whole = sum(host.size for host in self._hosts.values())
+        total_capacity = sum(host.capacity for host in self._hosts.values())
         for host in self._hosts.values():
-            part = host.size * len(self._hosts) / whole / self._settings.balancers
-            host.least = max(1 / len(self._hosts), LAST_LIMIT * part)
-            if host in met:
-                host.limit = max(LEAST_FIRST_LIMIT, FIRST_LIMIT * part)
-        self._crowded = any(host.least < 1 for host in self._hosts.values())
-        self._out = sum(host.in_flight for host in self._hosts.values())
-        self._limits = sum(host.limit for host in self._hosts.values())
-
-    def _subset(self) -> tuple[list[Host], list[Host]]:
+            limit_share = host.capacity * len(self._hosts) / total_capacity / self._settings.balancers
+            host.min_limit = max(1 / len(self._hosts), MIN_LIMIT * limit_share)
+            if host in new_hosts:
+                host.limit = max(MIN_INITIAL_LIMIT, INITIAL_LIMIT * limit_share)
+        self._limits_are_pooled = any(host.min_limit < 1 for host in self._hosts.values())
+        self._total_in_flight = sum(host.in_flight for host in self._hosts.values())
+        self._total_limit = sum(host.limit for host in self._hosts.values())
+
+    def _compute_subset(self) -> tuple[list[ServerState], list[ServerState]]:
         """This balancer's servers, and the others in the order in which they stand in.
 
         Hundreds of balancers with a connection each fill every server's table, and the rest cannot connect.
         Balancers in turn cut the same shuffled ring into equal slices, so each server serves as many of them.
         """
-        count, known = self._settings.balancers, len(self._hosts)
-        slices = max(1, min(count // FAN_IN, known // LEAST_SUBSET))
-        turn, place = divmod(self._settings.rank, slices)
-        ring = sorted(self._hosts.values(), key=lambda host: _rank(str(turn), host.info.id))
-        first, end = place * known // slices, (place + 1) * known // slices
-        return ring[first:end], ring[end:] + ring[:first]
-
-    def _warmth(self, host: Host, now: int) -> float:
+        balancer_count, server_count = self._settings.balancers, len(self._hosts)
+        slices = max(1, min(balancer_count // BALANCERS_PER_SERVER, server_count // MIN_SUBSET_SERVERS))
+        group_number, slice_index = divmod(self._settings.rank, slices)
+        shuffled = sorted(self._hosts.values(), key=lambda host: _hash_rank(str(group_number), host.info.id))
+        start, end = slice_index * server_count // slices, (slice_index + 1) * server_count // slices
+        return shuffled[start:end], shuffled[end:] + shuffled[:start]
+
+    def _min_capacity_share(self, host: ServerState, now: int) -> float:
         """The least share of its capacity that a server has by now."""
-        ramp, started = self._settings.ramp_time, host.info.started
-        if not started or now >= started + ramp:
+        ramp_time, started_at = self._settings.ramp_time, host.info.started_at
+        if not started_at or now >= started_at + ramp_time:
             return 1.0
-        floor = self._settings.cold_share
-        return floor + (1 - floor) * max(0, now - started) / ramp
+        cold_share = self._settings.cold_share
+        return cold_share + (1 - cold_share) * max(0, now - started_at) / ramp_time
 
-    def _count(self, kind: str, cost: float, now: int) -> None:
+    def _record_work(self, kind: str, cost: float, now: int) -> None:
         """Add to the work that servers of a kind did lately."""
-        kept, served = max(0.0, 1 - (now - self._counted) / RATE_WINDOW), self._served
-        for name in served:
-            served[name] *= kept
-        served[kind] = served.get(kind, 0.0) + cost
-        self._counted = now
+        kept_share, work_done = max(0.0, 1 - (now - self._work_counted_at) / WORK_WINDOW), self._work_done
+        for known_kind in work_done:
+            work_done[known_kind] *= kept_share
+        work_done[kind] = work_done.get(kind, 0.0) + cost
+        self._work_counted_at = now
 
-    def _slow_start_admits(self, host: Host, pending: Pending, now: int) -> bool:
+    def _slow_start_admits(self, host: ServerState, pending: PendingRequest, now: int) -> bool:
         """Whether a cold server may be sent a request; its base rate is a part of the work done lately.
 
         Work asked for would not do: retries swell it. Each balancer's shares follow its own traffic, which
         goes to its own servers: they are the whole that it is divided among.
         """
-        if now >= self._summed + SUM_EVERY:
-            self._warm = {}
-            for other in self._order:
+        if now >= self._warm_summed_at + WARM_SUM_INTERVAL:
+            self._warm_servers = {}
+            for other in self._subset:
                 kind = other.info.kind
-                self._warm[kind] = self._warm.get(kind, 0.0) + self._warmth(other, now)
-            self._summed = now
+                self._warm_servers[kind] = self._warm_servers.get(kind, 0.0) + self._min_capacity_share(
+                    other, now
+                )
+            self._warm_summed_at = now
         cost, settings = self._cost(pending), self._settings
-        rate = self._served.get(host.info.kind, 0.0) / RATE_WINDOW / self._warm[host.info.kind]
-        rate *= self._warmth(host, now) * settings.fall_multiple * BASE_PART
+        rate = self._work_done.get(host.info.kind, 0.0) / WORK_WINDOW / self._warm_servers[host.info.kind]
+        rate *= self._min_capacity_share(host, now) * settings.cold_overload_multiple * BASE_RATE_FRACTION
         # A trickle even where nothing is known yet; split, as that of many balancers alone pushed one over.
-        rate = max(rate, cost / RATE_WINDOW / settings.balancers)
-        return host.slow_start.admits(cost, rate, SAVED_PART * settings.fall_time, now, self._random)
+        rate = max(rate, cost / WORK_WINDOW / settings.balancers)
+        return host.slow_start.admits(
+            cost, rate, TOKEN_LIFETIME_FRACTION * settings.cold_overload_window, now, self._random
+        )
 
     def _on_request(self, event: Request, now: int) -> list[Action]:
-        kind = self._classes.get(event.class_name)
-        if kind is None:  # a class never announced may hold anything: it must not run twice
-            kind = RequestClass("", event.timeout or 1, event.timeout or 1, Effect.AT_MOST_ONCE)
-            self._classes[kind.name] = kind  # one for all of them: names are at a peer's will
+        request_class = self._classes.get(event.class_name)
+        if request_class is None:  # a class never announced may hold anything: it must not run twice
+            request_class = RequestClass("", event.timeout or 1, event.timeout or 1, Effect.AT_MOST_ONCE)
+            self._classes[request_class.name] = (
+                request_class  # one for all of them: names are at a peer's will
+            )
         # With nothing out, nobody can tell that an overload is over until another is let through.
-        blind = not self._pending
-        pending = Pending(event, kind, now, now + event.timeout, self._settings.max_attempts)
-        pending.body_to_come = event.streams
+        has_no_feedback = not self._pending
+        pending = PendingRequest(event, request_class, now, now + event.timeout, self._settings.max_attempts)
+        pending.body_incomplete = event.streams_body
         self._pending[event.id] = pending
-        self._spare = min(self._most_spare, self._spare + EXTRA_SHARE)
-        turned = self._shed.turns_away(event, kind, self._cost(pending), now, blind, self._random)
-        if self._too_late(event, kind) or turned:
-            return self._answer(pending)
-        return self._advance(pending, now)
+        self._retry_budget = min(self._max_retry_budget, self._retry_budget + RETRY_BUDGET_SHARE)
+        is_shed = self._shedder.should_shed(
+            event, request_class, self._cost(pending), now, has_no_feedback, self._random
+        )
+        if self._is_late_retry(event, request_class) or is_shed:
+            return self._refuse_or_fail(pending)
+        return self._attempt_or_answer(pending, now)
 
     def _on_adopted(self, event: RequestAdopted, now: int) -> list[Action]:
         """A request of another balancer's, whose server has a part of its body: only its end is decided."""
-        known = self._classes.get(event.class_name)
-        aim = known.aim if known is not None else event.timeout
-        kind = RequestClass(event.class_name, aim, event.timeout, Effect.AT_MOST_ONCE)
-        request = Request(event.id, event.class_name, event.timeout, streams=True)
-        pending = Pending(request, kind, now, now + event.timeout, most=1, spent=True, body_to_come=True)
+        announced = self._classes.get(event.class_name)
+        aim = announced.aim if announced is not None else event.timeout
+        request_class = RequestClass(event.class_name, aim, event.timeout, Effect.AT_MOST_ONCE)
+        request = Request(event.id, event.class_name, event.timeout, streams_body=True)
+        pending = PendingRequest(
+            request,
+            request_class,
+            now,
+            now + event.timeout,
+            max_attempts=1,
+            body_consumed=True,
+            body_incomplete=True,
+        )
         host = self._hosts.get(event.server)
         info = host.info if host is not None else Server(event.server, State.DRAINING)
-        pending.attempts.append(Attempt(info, now, judged=True, awaits_body=True))
+        pending.attempts.append(Attempt(info, now, is_counted=True, awaits_body=True))
         self._pending[event.id] = pending
         return []
 
-    def _too_late(self, event: Request, kind: RequestClass) -> bool:
+    def _is_late_retry(self, event: Request, request_class: RequestClass) -> bool:
         """Whether a client's retry comes after the aim; under overload it keeps what is in time waiting."""
-        if not event.retry:
-            self._patience[kind.name] = max(event.timeout, self._patience.get(kind.name, 0))
-        known = event.retry and event.timeout < self._patience.get(kind.name, 0)  # cut short by the deadline
-        return known and kind.late_worth == 0 and kind.deadline - event.timeout > kind.aim
-
-    def _cost(self, pending: Pending) -> float:
-        return pending.request.cost or self._expected(pending)  # no hint: the usual time stands for work
-
-    def _expected(self, pending: Pending) -> float:
+        if not event.is_retry:
+            self._longest_timeouts[request_class.name] = max(
+                event.timeout, self._longest_timeouts.get(request_class.name, 0)
+            )
+        is_shortened = event.is_retry and event.timeout < self._longest_timeouts.get(
+            request_class.name, 0
+        )  # cut short by the deadline
+        return (
+            is_shortened
+            and request_class.late_worth == 0
+            and request_class.deadline - event.timeout > request_class.aim
+        )
+
+    def _cost(self, pending: PendingRequest) -> float:
+        return pending.request.cost or self._expected_latency(
+            pending
+        )  # no hint: the usual time stands for work
+
+    def _expected_latency(self, pending: PendingRequest) -> float:
         """How long an answer to such a request usually takes, from any server."""
-        cost, usual = pending.request.cost or 1, self._usual.get(pending.kind.name)
-        return pending.kind.aim / 4 if usual is None else usual * cost
+        cost, unit_latency = pending.request.cost or 1, self._unit_latencies.get(pending.request_class.name)
+        return pending.request_class.aim / 4 if unit_latency is None else unit_latency * cost
 
-    def _advance(self, pending: Pending, now: int) -> list[Action]:
-        actions = self._attempt(pending, now) or []
-        if actions or pending.out:
+    def _attempt_or_answer(self, pending: PendingRequest, now: int) -> list[Action]:
+        actions = self._start_attempt(pending, now) or []
+        if actions or pending.running_attempts:
             return actions
-        self._shed.sign(False, now)
-        return self._answer(pending)
+        self._shedder.record_result(False, now)
+        return self._refuse_or_fail(pending)
 
-    def _attempt(self, pending: Pending, now: int) -> list[Action]:
-        over = now >= pending.deadline and not pending.body_to_come
-        if over or len(pending.attempts) >= min(pending.most, self._settings.max_attempts):
+    def _start_attempt(self, pending: PendingRequest, now: int) -> list[Action]:
+        is_expired = now >= pending.deadline and not pending.body_incomplete
+        if is_expired or len(pending.attempts) >= min(pending.max_attempts, self._settings.max_attempts):
             return []
-        extra = bool(pending.attempts) and (len(pending.attempts) > 1 or bool(pending.out))
+        uses_budget = bool(pending.attempts) and (len(pending.attempts) > 1 or bool(pending.running_attempts))
         # A first try and its fallback are free; more from hundreds of balancers swamp what still works.
-        if self._spare < extra or (pending.attempts and not self._may_repeat(pending, now)):
+        if self._retry_budget < uses_budget or (pending.attempts and not self._may_repeat(pending, now)):
             return []
-        host = self._choose(pending, now)
+        host = self._choose_server(pending, now)
         if host is None:
             return []
-        self._spare -= extra
+        self._retry_budget -= uses_budget
         return self._send(pending, host, now)
 
-    def _answer(self, pending: Pending) -> list[Action]:
+    def _refuse_or_fail(self, pending: PendingRequest) -> list[Action]:
         answer = Refuse if self._may_refuse(pending) else Fail
-        return [answer(pending.request.id), *self._settle(pending)]
-
-    def _send(self, pending: Pending, host: Host, now: int) -> list[Action]:
-        request, number, expected = pending.request.id, len(pending.attempts), self._expected(pending)
-        mark = self._marks.get(pending.kind.name, FIRST_MARK)
-        trials = host.breaker.start(), host.of(pending.kind).start()
-        attempt = Attempt(host.info, now, *trials, mark=mark, awaits_body=pending.body_to_come)
+        return [answer(pending.request.id), *self._finish(pending)]
+
+    def _send(self, pending: PendingRequest, host: ServerState, now: int) -> list[Action]:
+        request, number, expected = pending.request.id, len(pending.attempts), self._expected_latency(pending)
+        late_multiple = self._late_multiples.get(pending.request_class.name, INITIAL_LATE_MULTIPLE)
+        trials = host.breaker.start_attempt(), host.class_breaker(pending.request_class).start_attempt()
+        attempt = Attempt(
+            host.info, now, *trials, late_multiple=late_multiple, awaits_body=pending.body_incomplete
+        )
         pending.attempts.append(attempt)
         if not attempt.awaits_body:
             self._occupy(host)
-        host.slow_start.sent(self._cost(pending))
-        late = max(1, ceil(mark * expected))  # rounded down, it would find that it is not late yet
-        send = Send(request, host.info.id, 0, self._forgotten(pending))
-        return [send, SetTimer(late, f"{request}:{number}", request, number)]
-
-    def _forgotten(self, pending: Pending) -> int:
+        host.slow_start.record_send(self._cost(pending))
+        late_delay = max(
+            1, ceil(late_multiple * expected)
+        )  # rounded down, it would find that it is not late yet
+        send = Send(request, host.info.id, 0, self._dedup_window_end(pending))
+        return [send, SetTimer(late_delay, f"{request}:{number}", request, number)]
+
+    def _dedup_window_end(self, pending: PendingRequest) -> int:
         """When those that drop a keyed request's repeats may forget it; 0 for any other.
 
         All of its attempts have to begin by then, once there is more than one that may run: be it the first,
         whose connection may come up after another has run.
         """
-        first = pending.first_unsure if pending.kind.effect is Effect.KEYED else None
-        return first.sent + pending.kind.dedup_window if first is not None else 0
+        first = pending.first_possibly_run if pending.request_class.effect is Effect.KEYED else None
+        return first.sent_at + pending.request_class.dedup_window if first is not None else 0
 
-    def _choose(self, pending: Pending, now: int) -> Host | None:
+    def _choose_server(self, pending: PendingRequest, now: int) -> ServerState | None:
         """Two random servers that admit: the less busy first, the other as its fallback."""
         # Each host takes one at least, but a limit may be less: then their sum is kept.
-        if self._crowded and self._out >= max(1.0, self._limits):
+        if self._limits_are_pooled and self._total_in_flight >= max(1.0, self._total_limit):
             return None
         tried = {attempt.server.id for attempt in pending.attempts}
         fallback = self._hosts.get(pending.fallback) if pending.fallback is not None else None
         if fallback and fallback.info.id not in tried and self._admits(fallback, pending, now):
             return fallback
-        recall = max(RECALL, RECALL_ANSWERS * self._gap * len(self._order))
+        memory = max(LATENCY_MEMORY, LATENCY_MEMORY_ANSWERS * self._answer_gap * len(self._subset))
         first = None
         for host in self._candidates(pending.request.key):
             if host is first or host.info.id in tried or not self._admits(host, pending, now):
                 continue
             if first is not None:
                 first, second = (
-                    (host, first) if host.busy(now, recall) < first.busy(now, recall) else (first, host)
+                    (host, first)
+                    if host.load_score(now, memory) < first.load_score(now, memory)
+                    else (first, host)
                 )
                 pending.fallback = second.info.id
                 return first
@@ -361,102 +445,113 @@
         pending.fallback = None
         return first
 
-    def _candidates(self, key: str | None) -> Iterator[Host]:
+    def _candidates(self, key: str | None) -> Iterator[ServerState]:
         """The servers in random order; where they warm to keys, as the hash of the key ranks them."""
         if key is not None and self._settings.warm_keys:
-            yield from sorted(self._order, key=lambda host: _rank(key, host.info.id))
+            yield from sorted(self._subset, key=lambda host: _hash_rank(key, host.info.id))
         if self._settings.cross_zone_price > 0:  # stay while servers here have room to spare
-            near = self._with_room(self._here)
-            yield from self._drawn(near) if len(near) > 1 else ()
-        yield from self._drawn(self._order)
-        yield from self._spill
+            local_hosts = self._with_spare_capacity(self._subset_in_zone)
+            yield from self._draw(local_hosts) if len(local_hosts) > 1 else ()
+        yield from self._draw(self._subset)
+        yield from self._reserve
 
-    def _with_room(self, hosts: list[Host]) -> list[Host]:
+    def _with_spare_capacity(self, hosts: list[ServerState]) -> list[ServerState]:
         """Those with room to spare.
 
         Of many balancers each has one request at a server or none, also where all of them drown it: there the
         limits and what is in flight count together.
         """
-        if not self._crowded:
+        if not self._limits_are_pooled:
             return [host for host in hosts if 2 * host.in_flight < host.limit]
-        out, limits = sum(host.in_flight for host in hosts), sum(host.limit for host in hosts)
-        return hosts.copy() if 2 * out < limits else []
+        in_flight, limit = sum(host.in_flight for host in hosts), sum(host.limit for host in hosts)
+        return hosts.copy() if 2 * in_flight < limit else []
 
-    def _drawn(self, hosts: list[Host]) -> Iterator[Host]:
+    def _draw(self, hosts: list[ServerState]) -> Iterator[ServerState]:
         """In random order, worked out only as far as it is asked for.
 
         Of many balancers each has one request at a server or none, which tells little of how busy it is. Its
         part of the limits and the pace of its kind tell more: those with the most are likely first.
         """
-        if not self._crowded:
+        if not self._limits_are_pooled:
             yield from self._shuffled(hosts)
             return
-        parts = {host: host.limit / self._paces.get(host.info.kind, 1.0) for host in hosts}
-        most, passed = max(parts.values(), default=0.0), []
+        weights = {host: host.limit / self._kind_latency_ratios.get(host.info.kind, 1.0) for host in hosts}
+        max_weight, skipped = max(weights.values(), default=0.0), []
         for host in self._shuffled(hosts):
-            if self._random.random() * most < parts[host]:
+            if self._random.random() * max_weight < weights[host]:
                 yield host
             else:
-                passed.append(host)
-        yield from passed
+                skipped.append(host)
+        yield from skipped
 
-    def _shuffled(self, hosts: list[Host]) -> Iterator[Host]:
+    def _shuffled(self, hosts: list[ServerState]) -> Iterator[ServerState]:
         random, count = self._random.random, len(hosts)
-        for place in range(count):
-            other = place + int(random() * (count - place))
-            hosts[place], hosts[other] = hosts[other], hosts[place]
-            yield hosts[place]
+        for index in range(count):
+            other = index + int(random() * (count - index))
+            hosts[index], hosts[other] = hosts[other], hosts[index]
+            yield hosts[index]
 
-    def _admits(self, host: Host, pending: Pending, now: int) -> bool:
-        if not host.admits(pending.kind, now):
+    def _admits(self, host: ServerState, pending: PendingRequest, now: int) -> bool:
+        if not host.admits(pending.request_class, now):
             return False
-        if pending.attempts and not self._in_group(host.info, pending):
+        if pending.attempts and not self._in_dedup_group(host.info, pending):
             return False
-        if not host.info.started or self._warmth(host, now) == 1:
+        if not host.info.started_at or self._min_capacity_share(host, now) == 1:
             return True
-        if host not in self._mine:  # those whose own it is warm it; what others sent would come on top
+        if (
+            host not in self._subset_members
+        ):  # those whose own it is warm it; what others sent would come on top
             return False
         return self._slow_start_admits(host, pending, now)
 
-    def _may_repeat(self, pending: Pending, now: int) -> bool:
+    def _may_repeat(self, pending: PendingRequest, now: int) -> bool:
         """Whether another attempt may start at all."""
-        if pending.spent or (pending.out and (pending.request.streams or not self._settings.may_hedge)):
+        if pending.body_consumed or (
+            pending.running_attempts and (pending.request.streams_body or not self._settings.may_hedge)
+        ):
             return False
-        first = pending.first_unsure
-        if first is None or pending.kind.effect is Effect.IDEMPOTENT:
+        first = pending.first_possibly_run
+        if first is None or pending.request_class.effect is Effect.IDEMPOTENT:
             return True
-        return pending.kind.effect is Effect.KEYED and now < first.sent + pending.kind.dedup_window
+        return (
+            pending.request_class.effect is Effect.KEYED
+            and now < first.sent_at + pending.request_class.dedup_window
+        )
 
-    def _in_group(self, server: Server, pending: Pending) -> bool:
+    def _in_dedup_group(self, server: Server, pending: PendingRequest) -> bool:
         """A keyed request that may have run stays with the servers that drop its repeats."""
-        first = pending.first_unsure
-        if first is None or pending.kind.effect is not Effect.KEYED or pending.kind.scope is Scope.ALL:
+        first = pending.first_possibly_run
+        if (
+            first is None
+            or pending.request_class.effect is not Effect.KEYED
+            or pending.request_class.scope is Scope.ALL
+        ):
             return True
-        if pending.kind.scope is Scope.ZONE:
+        if pending.request_class.scope is Scope.ZONE:
             return server.zone == first.server.zone
         return server.cell == first.server.cell
 
-    def _may_refuse(self, pending: Pending) -> bool:
+    def _may_refuse(self, pending: PendingRequest) -> bool:
         """A refusal says that trying again is harmless."""
-        kind = pending.kind
-        if kind.effect is Effect.IDEMPOTENT or pending.first_unsure is None:
+        request_class = pending.request_class
+        if request_class.effect is Effect.IDEMPOTENT or pending.first_possibly_run is None:
             return True
-        return kind.effect is Effect.KEYED and kind.scope is Scope.ALL
+        return request_class.effect is Effect.KEYED and request_class.scope is Scope.ALL
 
-    def _on_end(self, event: AttemptEnded, now: int) -> list[Action]:
+    def _on_attempt_ended(self, event: AttemptEnded, now: int) -> list[Action]:
         pending, attempt = self._find(event.request, event.attempt)
         if pending is None or attempt is None:
             return []
-        attempt.outcome, pending.spent = event.outcome, pending.spent or event.spent
+        attempt.outcome, pending.body_consumed = event.outcome, pending.body_consumed or event.body_consumed
         host = self._host_of(attempt)
-        if host is not None and not attempt.streams:
+        if host is not None and not attempt.is_streaming:
             self._release(host, attempt)
-            self._judge(host, pending, attempt, now, now - event.waited)
-        if not event.answered and not pending.answered:
-            return self._advance(pending, now)
-        return self._settle(pending)
+            self._record_outcome(host, pending, attempt, now, now - event.local_delay)
+        if not event.client_answered and not pending.is_answered:
+            return self._attempt_or_answer(pending, now)
+        return self._finish(pending)
 
-    def _on_stream(self, event: StreamStarted, now: int) -> list[Action]:
+    def _on_stream_started(self, event: StreamStarted, now: int) -> list[Action]:
         """The attempt is the client's now; how long its stream lasts says nothing of its server."""
         pending, attempt = self._find(event.request, event.attempt)
         if pending is None or attempt is None:
@@ -464,171 +559,205 @@
         host = self._host_of(attempt)
         if host is not None:
             self._release(host, attempt)
-            late = event.latency > TARGET * pending.kind.aim
-            self._learn(host, pending, attempt, event.latency, now)
-            self._shed.sign(not late, now)
-            host.succeed(pending.kind, attempt, now)
-            if not attempt.judged:
-                self._judge_load(host, pending, attempt, Outcome.OK, now, pending.arrived + event.latency)
-        attempt.judged = attempt.streams = True
-        return self._settle(pending)
-
-    def _on_body(self, event: BodyReceived, now: int) -> list[Action]:
+            is_late = event.latency > TARGET_AIM_SHARE * pending.request_class.aim
+            self._record_latency(host, pending, attempt, event.latency, now)
+            self._shedder.record_result(not is_late, now)
+            host.record_success(pending.request_class, attempt, now)
+            if not attempt.is_counted:
+                self._adjust_limit(
+                    host, pending, attempt, Outcome.OK, now, pending.arrived_at + event.latency
+                )
+        attempt.is_counted = attempt.is_streaming = True
+        return self._finish(pending)
+
+    def _on_body_received(self, event: BodyReceived, now: int) -> list[Action]:
         """A server begins with a request's last byte: an upload that takes seconds is no load before that."""
         pending = self._pending.get(event.request)
-        if pending is None or not pending.body_to_come:
+        if pending is None or not pending.body_incomplete:
             return []
-        pending.body_to_come, pending.deadline = False, now + pending.request.timeout
+        pending.body_incomplete, pending.deadline = False, now + pending.request.timeout
         for attempt in pending.attempts:
             host = self._host_of(attempt) if attempt.outcome is None and attempt.awaits_body else None
-            if host is not None and not attempt.streams:
+            if host is not None and not attempt.is_streaming:
                 attempt.awaits_body = False
                 self._occupy(host)
         return []
 
-    def _occupy(self, host: Host) -> None:
+    def _occupy(self, host: ServerState) -> None:
         host.in_flight += 1
-        self._out += 1
+        self._total_in_flight += 1
 
-    def _release(self, host: Host, attempt: Attempt) -> None:
+    def _release(self, host: ServerState, attempt: Attempt) -> None:
         if attempt.awaits_body:
             return
-        self._out -= min(1, host.in_flight)
+        self._total_in_flight -= min(1, host.in_flight)
         host.in_flight = max(0, host.in_flight - 1)
 
-    def _find(self, request: RequestId, number: int) -> tuple[Pending | None, Attempt | None]:
-        pending = self._pending.get(request)
-        known = pending.attempts[number : number + 1] if pending else []
-        return pending, known[0] if known else None
+    def _find(self, request_id: RequestId, number: int) -> tuple[PendingRequest | None, Attempt | None]:
+        pending = self._pending.get(request_id)
+        found = pending.attempts[number : number + 1] if pending else []
+        return pending, found[0] if found else None
 
-    def _host_of(self, attempt: Attempt) -> Host | None:  # none if it left or was restarted since
+    def _host_of(self, attempt: Attempt) -> ServerState | None:  # none if it left or was restarted since
         host = self._hosts.get(attempt.server.id)
-        return host if host is not None and host.info.started == attempt.server.started else None
-
-    def _judge(self, host: Host, pending: Pending, attempt: Attempt, now: int, ended: int) -> None:
-        outcome, taken = attempt.outcome, ended - attempt.sent
-        late = taken > TARGET * pending.kind.aim
-        served = outcome is Outcome.OK
-        if served:
-            self._learn(host, pending, attempt, taken, now)
+        return host if host is not None and host.info.started_at == attempt.server.started_at else None
+
+    def _record_outcome(
+        self, host: ServerState, pending: PendingRequest, attempt: Attempt, now: int, ended_at: int
+    ) -> None:
+        outcome, latency = attempt.outcome, ended_at - attempt.sent_at
+        is_late = latency > TARGET_AIM_SHARE * pending.request_class.aim
+        is_served = outcome is Outcome.OK
+        if is_served:
+            self._record_latency(host, pending, attempt, latency, now)
         # Calling off what was not late yet, as when its client leaves, says nothing of the load.
-        if outcome is Outcome.OK or outcome is Outcome.TIMEOUT or (late and outcome is Outcome.CANCELLED):
-            self._shed.sign(outcome is Outcome.OK and not late, now)
-        if served:
-            host.succeed(pending.kind, attempt, now)
-        if not attempt.judged:  # else its verdict is given
-            self._judge_load(host, pending, attempt, attempt.outcome, now, ended)
-            if not served:
-                self._judge_health(host, pending, attempt, now)
-
-    def _learn(self, host: Host, pending: Pending, attempt: Attempt, taken: int, now: int) -> None:
+        if outcome is Outcome.OK or outcome is Outcome.TIMEOUT or (is_late and outcome is Outcome.CANCELLED):
+            self._shedder.record_result(outcome is Outcome.OK and not is_late, now)
+        if is_served:
+            host.record_success(pending.request_class, attempt, now)
+        if not attempt.is_counted:  # else its verdict is given
+            self._adjust_limit(host, pending, attempt, attempt.outcome, now, ended_at)
+            if not is_served:
+                self._record_health(host, pending, attempt, now)
+
+    def _record_latency(
+        self, host: ServerState, pending: PendingRequest, attempt: Attempt, latency: int, now: int
+    ) -> None:
         """What an answer tells of its host's pace, of the usual time of its like, and of the work done."""
-        name, cost = pending.kind.name, pending.request.cost or 1
-        self._learn_pace(host, taken / self._expected(pending), now)
-        host.paced, host.pace = now, host.pace + 0.2 * (taken / self._expected(pending) - host.pace)
-        if self._classes.get(name) is not pending.kind:  # its class has changed, or there is none any more
-            self._count(host.info.kind, cost, now)
+        class_name, cost = pending.request_class.name, pending.request.cost or 1
+        self._update_kind_ratio(host, latency / self._expected_latency(pending), now)
+        host.latency_ratio_at, host.latency_ratio = (
+            now,
+            host.latency_ratio + 0.2 * (latency / self._expected_latency(pending) - host.latency_ratio),
+        )
+        if (
+            self._classes.get(class_name) is not pending.request_class
+        ):  # its class has changed, or there is none any more
+            self._record_work(host.info.kind, cost, now)
             return
-        if self._warmth(host, now) < 1:
-            host.slow_start.answered(self._cost(pending), self._settings.fall_multiple)
-        if not attempt.judged:
-            self._learn_mark(pending, False)
-        usual = self._usual.setdefault(name, taken / cost)
-        self._usual[name] = usual = max(1 / cost, usual * STEP if taken / cost > usual else usual / STEP)
-        if name:  # what was never announced may be anything: it must not tighten the others' room
-            typical = self._typical.setdefault(name, taken)
-            self._typical[name] = max(1, typical * STEP if taken > typical else typical / STEP)
-        self._count(host.info.kind, pending.request.cost or usual, now)
-
-    def _learn_pace(self, host: Host, stretch: float, now: int) -> None:
+        if self._min_capacity_share(host, now) < 1:
+            host.slow_start.record_answer(self._cost(pending), self._settings.cold_overload_multiple)
+        if not attempt.is_counted:
+            self._update_late_multiple(pending, False)
+        unit_latency = self._unit_latencies.setdefault(class_name, latency / cost)
+        self._unit_latencies[class_name] = unit_latency = max(
+            1 / cost,
+            unit_latency * LATENCY_STEP if latency / cost > unit_latency else unit_latency / LATENCY_STEP,
+        )
+        if class_name:  # what was never announced may be anything: it must not tighten the others' room
+            median = self._median_latencies.setdefault(class_name, latency)
+            self._median_latencies[class_name] = max(
+                1, median * LATENCY_STEP if latency > median else median / LATENCY_STEP
+            )
+        self._record_work(host.info.kind, pending.request.cost or unit_latency, now)
+
+    def _update_kind_ratio(self, host: ServerState, latency_ratio: float, now: int) -> None:
         """How far apart answers are, and how long those of a kind of server take against the usual."""
-        if self._heard:
-            self._gap += GAP_STEP * (now - self._heard - self._gap)
-        self._heard, kind = now, host.info.kind
-        pace = self._paces.get(kind, 1.0)
-        self._paces[kind] = pace * PACE_STEP if stretch * self._warmth(host, now) > pace else pace / PACE_STEP
-
-    def _learn_mark(self, pending: Pending, passed: bool) -> None:
+        if self._last_answer_at:
+            self._answer_gap += ANSWER_GAP_STEP * (now - self._last_answer_at - self._answer_gap)
+        self._last_answer_at, kind = now, host.info.kind
+        kind_ratio = self._kind_latency_ratios.get(kind, 1.0)
+        self._kind_latency_ratios[kind] = (
+            kind_ratio * KIND_RATIO_STEP
+            if latency_ratio * self._min_capacity_share(host, now) > kind_ratio
+            else kind_ratio / KIND_RATIO_STEP
+        )
+
+    def _update_late_multiple(self, pending: PendingRequest, is_late: bool) -> None:
         """Move the mark of its class to where `LATE` of all attempts pass it."""
-        name = pending.kind.name
-        by = MARK_STEP * ((1 - LATE) if passed else -LATE)
-        self._marks[name] = max(LEAST_MARK, self._marks.get(name, FIRST_MARK) * (1 + by))
-
-    def _judge_load(
-        self, host: Host, pending: Pending, attempt: Attempt, outcome: Outcome | None, now: int, ended: int
+        class_name = pending.request_class.name
+        step = LATE_MULTIPLE_STEP * ((1 - LATE_SHARE) if is_late else -LATE_SHARE)
+        self._late_multiples[class_name] = max(
+            MIN_LATE_MULTIPLE, self._late_multiples.get(class_name, INITIAL_LATE_MULTIPLE) * (1 + step)
+        )
+
+    def _adjust_limit(
+        self,
+        host: ServerState,
+        pending: PendingRequest,
+        attempt: Attempt,
+        outcome: Outcome | None,
+        now: int,
+        ended_at: int,
     ) -> None:
-        before = host.limit
-        if outcome is Outcome.OK and ended - pending.arrived <= self._room(pending):
-            if not self._crowded:
-                host.widen()
-            elif 2 * self._out >= self._limits - 2:
-                host.widen_pool()
-        elif outcome not in NO_LOAD:
-            host.narrow(attempt, now)
-        self._limits += host.limit - before
-
-    def _room(self, pending: Pending) -> float:
+        limit_before = host.limit
+        if outcome is Outcome.OK and ended_at - pending.arrived_at <= self._target_latency(pending):
+            if not self._limits_are_pooled:
+                host.raise_limit()
+            elif 2 * self._total_in_flight >= self._total_limit - 2:
+                host.raise_pooled_limit()
+        elif outcome not in LOAD_NEUTRAL_OUTCOMES:
+            host.cut_limit(attempt, now)
+        self._total_limit += host.limit - limit_before
+
+    def _target_latency(self, pending: PendingRequest) -> float:
         """The time within which it is answered while a server has room.
 
         A class that leaves its answers more time than another must not crowd that one's servers: all are
         held to the stretch of the tightest, but for what their own answers scatter by.
         """
-        name, typical = pending.kind.name, self._typical
-        own = TARGET * pending.kind.aim
-        if name not in typical:
-            return own
-        tightest = min(self._classes[other].aim / typical[other] for other in typical)
-        return min(own, max(SCATTER, TARGET * tightest) * typical[name])
-
-    def _judge_health(self, host: Host, pending: Pending, attempt: Attempt, now: int) -> None:
-        if attempt.outcome in FAILURES:
-            self._fail(host, attempt, now)
-        elif attempt.trial and attempt.outcome is not Outcome.OK:
-            host.breaker.abandon()
-        if attempt.outcome in CLASS_FAILURES or self._silent(host, pending, attempt, now):
-            self._fail_class(host, pending, attempt, now)
-        elif attempt.class_trial and attempt.outcome is not Outcome.OK:
-            host.of(pending.kind).abandon()
-
-    def _silent(self, host: Host, pending: Pending, attempt: Attempt, now: int) -> bool:
-        return host.silent(pending.kind, attempt, self._expected(pending), now)
-
-    def _fail(self, host: Host, attempt: Attempt, now: int) -> None:
+        class_name, medians = pending.request_class.name, self._median_latencies
+        own_target = TARGET_AIM_SHARE * pending.request_class.aim
+        if class_name not in medians:
+            return own_target
+        min_ratio = min(self._classes[other].aim / medians[other] for other in medians)
+        return min(own_target, max(SCATTER_MULTIPLE, TARGET_AIM_SHARE * min_ratio) * medians[class_name])
+
+    def _record_health(self, host: ServerState, pending: PendingRequest, attempt: Attempt, now: int) -> None:
+        if attempt.outcome in SERVER_FAILURES:
+            self._record_failure(host, attempt, now)
+        elif attempt.is_trial and attempt.outcome is not Outcome.OK:
+            host.breaker.abandon_trial()
+        if attempt.outcome in CLASS_FAILURES or self._is_silent(host, pending, attempt, now):
+            self._record_class_failure(host, pending, attempt, now)
+        elif attempt.is_class_trial and attempt.outcome is not Outcome.OK:
+            host.class_breaker(pending.request_class).abandon_trial()
+
+    def _is_silent(self, host: ServerState, pending: PendingRequest, attempt: Attempt, now: int) -> bool:
+        return host.is_silent(pending.request_class, attempt, self._expected_latency(pending), now)
+
+    def _record_failure(self, host: ServerState, attempt: Attempt, now: int) -> None:
         """Count a failure, unless trouble is shared: breakers must not refuse work that the fleet can do."""
-        opened = sum(not other.breaker.closed for other in self._hosts.values())
-        if attempt.trial or opened < OPEN_SHARE * len(self._hosts):
-            host.breaker.fail(now, attempt.trial)
-
-    def _fail_class(self, host: Host, pending: Pending, attempt: Attempt, now: int) -> None:
-        opened = sum(not other.of(pending.kind).closed for other in self._hosts.values())
-        if attempt.class_trial or opened < CLASS_OPEN_SHARE * len(self._hosts):
-            failed = attempt.outcome in CLASS_FAILURES
-            breaker = host.of(pending.kind)
-            (breaker.fail if failed else breaker.miss)(now, attempt.class_trial)
-
-    def _on_late(self, token: str, now: int) -> list[Action]:
+        open_count = sum(not other.breaker.is_closed for other in self._hosts.values())
+        if attempt.is_trial or open_count < MAX_OPEN_SHARE * len(self._hosts):
+            host.breaker.record_failure(now, attempt.is_trial)
+
+    def _record_class_failure(
+        self, host: ServerState, pending: PendingRequest, attempt: Attempt, now: int
+    ) -> None:
+        open_count = sum(
+            not other.class_breaker(pending.request_class).is_closed for other in self._hosts.values()
+        )
+        if attempt.is_class_trial or open_count < MAX_CLASS_OPEN_SHARE * len(self._hosts):
+            is_failure = attempt.outcome in CLASS_FAILURES
+            breaker = host.class_breaker(pending.request_class)
+            (breaker.record_failure if is_failure else breaker.record_no_answer)(now, attempt.is_class_trial)
+
+    def _on_late_timer(self, token: str, now: int) -> list[Action]:
         """An attempt is out far longer than its like: a failure, as soon as it can be known."""
         pending, attempt = self._find(*map(int, token.split(":")))
-        if pending is None or attempt is None or attempt.outcome is not None or attempt.judged:
+        if pending is None or attempt is None or attempt.outcome is not None or attempt.is_counted:
             return []
         host = self._host_of(attempt)
         # Where the usual time grew since, there is no second look: its hedges cost more than they gained.
         # By the mark that it was sent with: the first that passes one moves it, and would hide the others.
-        if host is not None and now - attempt.sent >= attempt.mark * self._expected(pending):
-            self._learn_mark(pending, True)
-            attempt.judged = True
-            self._fail(host, attempt, now)
-            if attempt.class_trial or self._silent(host, pending, attempt, now):
-                self._fail_class(host, pending, attempt, now)
-            if not pending.answered:  # the fallback starts beside it
-                return self._attempt(pending, now)
+        if host is not None and now - attempt.sent_at >= attempt.late_multiple * self._expected_latency(
+            pending
+        ):
+            self._update_late_multiple(pending, True)
+            attempt.is_counted = True
+            self._record_failure(host, attempt, now)
+            if attempt.is_class_trial or self._is_silent(host, pending, attempt, now):
+                self._record_class_failure(host, pending, attempt, now)
+            if not pending.is_answered:  # the fallback starts beside it
+                return self._start_attempt(pending, now)
         return []
 
-    def _settle(self, pending: Pending) -> list[Action]:
+    def _finish(self, pending: PendingRequest) -> list[Action]:
         """Nothing more is owed: call off what is out, and forget the request once all has ended."""
-        first, pending.answered = not pending.answered, True
-        out = pending.out
-        if not out:
+        is_first, pending.is_answered = not pending.is_answered, True
+        running = pending.running_attempts
+        if not running:
             del self._pending[pending.request.id]
-        losers = [n for n in out if first and not pending.attempts[n].streams]
-        return [Cancel(pending.request.id, n) for n in losers] if self._settings.may_cancel else []
+        losers = [number for number in running if is_first and not pending.attempts[number].is_streaming]
+        return [Cancel(pending.request.id, number) for number in losers] if self._settings.may_cancel else []
--- a/whinrouter/breaker.py
+++ b/whinrouter/breaker.py
@@ -8,12 +8,16 @@
 from whinrouter.interface import SECOND
 from whinrouter.learned_state import BreakerState
 
-WINDOW = 60 * SECOND  # failures older than this are forgotten
-THRESHOLD = 3  # failures that open a breaker
-COOLDOWN, MAX_COOLDOWN = SECOND // 4, 20 * SECOND
-JITTER = 0.15
-TAKES_BACK = 2  # successes that take back a failure of their class: it opens where more than a third fail
-CLASS_COOLDOWN = 4 * SECOND  # at most: the server serves all else meanwhile, and a trial costs one request
+FAILURE_WINDOW = 60 * SECOND  # failures older than this are forgotten
+FAILURE_THRESHOLD = 3  # failures that open a breaker
+BASE_COOLDOWN, MAX_COOLDOWN = SECOND // 4, 20 * SECOND
+COOLDOWN_JITTER = 0.15
+SUCCESSES_PER_FAILURE = (
+    2  # successes that take back a failure of their class: it opens where more than a third fail
+)
+MAX_CLASS_COOLDOWN = (
+    4 * SECOND
+)  # at most: the server serves all else meanwhile, and a trial costs one request
 
 
 class Breaker:
@@ -22,57 +26,61 @@
     def __init__(self, random: Random) -> None:
         self._random = random
         self._failures: deque[int] = deque()
-        self._reopens: int | None = None  # end of the cooldown; None while closed
-        self._cooldown = COOLDOWN
-        self._longest = MAX_COOLDOWN
-        self._trial = False
+        self._half_open_at: int | None = None  # end of the cooldown; None while closed
+        self._cooldown = BASE_COOLDOWN
+        self._max_cooldown = MAX_COOLDOWN
+        self._trial_running = False
 
     @property
-    def closed(self) -> bool:
-        return self._reopens is None
+    def is_closed(self) -> bool:
+        return self._half_open_at is None
 
-    def state(self, now: int) -> BreakerState:
+    def export_state(self, now: int) -> BreakerState:
         """What another goes on from, in spans; a trial that is out is not its own."""
-        reopens_in = self._reopens - now if self._reopens is not None else None
-        return BreakerState(tuple(now - failed for failed in self._failures), reopens_in, self._cooldown)
+        half_open_in = self._half_open_at - now if self._half_open_at is not None else None
+        return BreakerState(
+            tuple(now - failed_at for failed_at in self._failures), half_open_in, self._cooldown
+        )
 
-    def resume(self, state: BreakerState, now: int) -> None:
+    def restore_state(self, state: BreakerState, now: int) -> None:
         self._failures = deque(now - age for age in state.failures)
-        self._reopens = now + state.reopens_in if state.reopens_in is not None else None
+        self._half_open_at = now + state.half_open_in if state.half_open_in is not None else None
         self._cooldown = state.cooldown
 
     def admits(self, now: int) -> bool:
-        return self._reopens is None or (now >= self._reopens and not self._trial)
+        return self._half_open_at is None or (now >= self._half_open_at and not self._trial_running)
 
-    def start(self) -> bool:
-        self._trial = self._reopens is not None
-        return self._trial
+    def start_attempt(self) -> bool:
+        self._trial_running = self._half_open_at is not None
+        return self._trial_running
 
-    def abandon(self) -> None:
+    def abandon_trial(self) -> None:
         """The trial was given up: its slot is free, without a verdict."""
-        self._trial = False
+        self._trial_running = False
 
-    def succeed(self, trial: bool) -> None:
-        if self.closed:
+    def record_success(self, is_trial: bool) -> None:
+        if self.is_closed:
             self._failures.clear()
-        elif trial:
+        elif is_trial:
             self._failures.clear()
-            self._reopens, self._trial, self._cooldown = None, False, COOLDOWN
+            self._half_open_at, self._trial_running, self._cooldown = None, False, BASE_COOLDOWN
 
-    def fail(self, now: int, trial: bool) -> None:
-        if trial:
-            self._cooldown = min(2 * self._cooldown, self._longest)
+    def record_failure(self, now: int, is_trial: bool) -> None:
+        if is_trial:
+            self._cooldown = min(2 * self._cooldown, self._max_cooldown)
             self._open(now)
-        elif self.closed:
+        elif self.is_closed:
             self._failures.append(now)
-            while self._failures[0] <= now - WINDOW:
+            while self._failures[0] <= now - FAILURE_WINDOW:
                 self._failures.popleft()
-            if len(self._failures) >= THRESHOLD:
+            if len(self._failures) >= FAILURE_THRESHOLD:
                 self._open(now)
 
     def _open(self, now: int) -> None:
-        self._trial = False
-        self._reopens = now + round(self._cooldown * self._random.uniform(1 - JITTER, 1 + JITTER))
+        self._trial_running = False
+        self._half_open_at = now + round(
+            self._cooldown * self._random.uniform(1 - COOLDOWN_JITTER, 1 + COOLDOWN_JITTER)
+        )
 
 
 class ClassBreaker(Breaker):
@@ -87,34 +95,36 @@
 
     def __init__(self, random: Random) -> None:
         super().__init__(random)
-        self._longest = CLASS_COOLDOWN
-        self._good = 0  # successes that have taken back nothing yet
-        self._missed = 0  # that waited in vain since it last served one
-        self.served = 0  # when that was
+        self._max_cooldown = MAX_CLASS_COOLDOWN
+        self._success_credit = 0  # successes that have taken back nothing yet
+        self._unanswered = 0  # that waited in vain since it last served one
+        self.last_answer_at = 0  # when that was
 
-    def serve(self, now: int, trial: bool) -> None:
+    def record_answer(self, now: int, is_trial: bool) -> None:
         """Any answer shows that it is not silent, also a late one; failing is another matter."""
-        missed, self._missed, self.served = self._missed, 0, now
-        if self.closed:
-            self._good += 1
-            if self._good >= TAKES_BACK:
-                self._take_back()
-        elif trial or missed >= THRESHOLD:
-            self._cooldown = min(2 * self._cooldown, self._longest)  # of the next time, unless it stays well
-            self._take_back()
-            self._reopens, self._trial = None, False
-
-    def miss(self, now: int, trial: bool) -> None:
+        unanswered, self._unanswered, self.last_answer_at = self._unanswered, 0, now
+        if self.is_closed:
+            self._success_credit += 1
+            if self._success_credit >= SUCCESSES_PER_FAILURE:
+                self._remove_failure()
+        elif is_trial or unanswered >= FAILURE_THRESHOLD:
+            self._cooldown = min(
+                2 * self._cooldown, self._max_cooldown
+            )  # of the next time, unless it stays well
+            self._remove_failure()
+            self._half_open_at, self._trial_running = None, False
+
+    def record_no_answer(self, now: int, is_trial: bool) -> None:
         """One waited in vain, and none was served meanwhile."""
-        self._missed += 1
-        if trial:
-            self.fail(now, trial)
-        elif self.closed and self._missed >= THRESHOLD:
+        self._unanswered += 1
+        if is_trial:
+            self.record_failure(now, is_trial)
+        elif self.is_closed and self._unanswered >= FAILURE_THRESHOLD:
             self._open(now)
 
-    def _take_back(self) -> None:
-        self._good = 0
+    def _remove_failure(self) -> None:
+        self._success_credit = 0
         if self._failures:
             self._failures.pop()
         if not self._failures:
-            self._cooldown = COOLDOWN
+            self._cooldown = BASE_COOLDOWN
--- a/whinrouter/coalesced.py
+++ b/whinrouter/coalesced.py
@@ -12,34 +12,34 @@
     Nobody's wish is lost: whoever asks is followed by a call that begins later, unless `stop` comes first.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, call: Callable[[], None], every: float) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, call: Callable[[], None], interval: float) -> None:
         """`every`: seconds from the end of one call to the start of the next."""
-        self._loop, self._call, self._every = loop, call, every
-        self._rests: asyncio.TimerHandle | None = None  # until the next call may be made
-        self._is_wanted = False
+        self._loop, self._call, self._interval = loop, call, interval
+        self._cooldown: asyncio.TimerHandle | None = None  # until the next call may be made
+        self._is_requested = False
         self._is_stopped = False
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Have the call made, now or as soon as it may be."""
-        if self._rests is None and not self._is_stopped:
-            self._make()
+        if self._cooldown is None and not self._is_stopped:
+            self._run()
         else:
-            self._is_wanted = True
+            self._is_requested = True
 
     def stop(self) -> None:
         """Make no more calls."""
         self._is_stopped = True
-        if self._rests is not None:
-            self._rests.cancel()
+        if self._cooldown is not None:
+            self._cooldown.cancel()
 
-    def _make(self) -> None:
-        self._is_wanted = False
+    def _run(self) -> None:
+        self._is_requested = False
         try:
             self._call()
         finally:
-            self._rests = self._loop.call_later(self._every, self._rested)
+            self._cooldown = self._loop.call_later(self._interval, self._end_cooldown)
 
-    def _rested(self) -> None:
-        self._rests = None
-        if self._is_wanted:
-            self._make()
+    def _end_cooldown(self) -> None:
+        self._cooldown = None
+        if self._is_requested:
+            self._run()
--- a/whinrouter/console.py
+++ b/whinrouter/console.py
@@ -10,7 +10,7 @@
 def main() -> int:
     """Run the command line; the exit status."""
     if sys.argv[1:2] == ["run"]:
-        signals.hold()
+        signals.block()
     from whinrouter.operator.cli import main as command_line  # noqa: PLC0415 - after signals are held
 
     return command_line()
--- a/whinrouter/control/ctl.py
+++ b/whinrouter/control/ctl.py
@@ -6,38 +6,38 @@
 import socket
 import sys
 
-from whinrouter.control.session import MOST
+from whinrouter.control.session import MAX_LINE_BYTES
 
-DONE, REFUSED, UNREACHED = 0, 1, 2
-PATIENCE = 5.0  # seconds for an answer that is owed in one
-MOST_ANSWER = 8 * MOST  # bytes
+EXIT_DONE, EXIT_REFUSED, EXIT_UNREACHABLE = 0, 1, 2
+ANSWER_TIMEOUT_SECONDS = 5.0  # seconds for an answer that is owed in one
+MAX_ANSWER_BYTES = 8 * MAX_LINE_BYTES  # bytes
 
 
-def call(address: tuple[str, int], words: list[str]) -> tuple[bool, str]:
+def call(address: tuple[str, int], arguments: list[str]) -> tuple[bool, str]:
     """Whether the call was done, and what was said; OSError if nobody answers."""
-    with socket.create_connection(address, PATIENCE) as connection:
-        connection.sendall(" ".join(words).encode() + b"\n")
+    with socket.create_connection(address, ANSWER_TIMEOUT_SECONDS) as connection:
+        connection.sendall(" ".join(arguments).encode() + b"\n")
         answer = b""
-        while data := connection.recv(MOST_ANSWER):
+        while data := connection.recv(MAX_ANSWER_BYTES):
             answer += data
-            if b"\n" in answer or len(answer) > MOST_ANSWER:
+            if b"\n" in answer or len(answer) > MAX_ANSWER_BYTES:
                 break
-    mark, _, text = answer.decode("ascii", "replace").strip().partition(" ")
-    if mark not in ("+OK", "-ERR"):
+    status, _, text = answer.decode("ascii", "replace").strip().partition(" ")
+    if status not in ("+OK", "-ERR"):
         raise ConnectionError("what answers there takes no calls")
-    return mark == "+OK", text
+    return status == "+OK", text
 
 
-def main(address: tuple[str, int], words: list[str], as_json: bool) -> int:
+def main(address: tuple[str, int], arguments: list[str], as_json: bool) -> int:
     """Make a call, print what was said, and return an exit code."""
-    call_words = [words[0].upper(), *words[1:]]
+    call_arguments = [arguments[0].upper(), *arguments[1:]]
     try:
-        done, text = call(address, call_words)
+        is_done, text = call(address, call_arguments)
     except OSError as error:
         print(f"copperlead: {address[0]}:{address[1]}: {error}", file=sys.stderr)
-        return UNREACHED
+        return EXIT_UNREACHABLE
     if as_json:
-        print(json.dumps({"call": call_words, "done": done, "said": text}))
+        print(json.dumps({"call": call_arguments, "done": is_done, "said": text}))
     else:
-        print(text or "done", file=sys.stdout if done else sys.stderr)
-    return DONE if done else REFUSED
+        print(text or "done", file=sys.stdout if is_done else sys.stderr)
+    return EXIT_DONE if is_done else EXIT_REFUSED
--- a/whinrouter/control/session.py
+++ b/whinrouter/control/session.py
@@ -11,14 +11,14 @@
 
 from typing import NamedTuple
 
-MOST = 512  # bytes of a line: a name and an id; hosts' ids are far shorter
+MAX_LINE_BYTES = 512  # bytes of a line: a name and an id; hosts' ids are far shorter
 
 
 class Call(NamedTuple):
     """What a caller asks."""
 
     name: str
-    words: tuple[str, ...] = ()
+    arguments: tuple[str, ...] = ()
 
 
 class BadCallError(Exception):
@@ -30,25 +30,25 @@
 
     def __init__(self) -> None:
         self._line = b""
-        self.over = False  # it has had its call, or can have none
+        self.is_finished = False  # it has had its call, or can have none
 
     def feed(self, data: bytes) -> Call | None:
         """Take what came."""
-        if self.over:
+        if self.is_finished:
             return None
-        self._line += data[: MOST + 1]
-        line, ended, _ = self._line.partition(b"\n")
-        if not ended and len(line) <= MOST:
+        self._line += data[: MAX_LINE_BYTES + 1]
+        line, newline, _ = self._line.partition(b"\n")
+        if not newline and len(line) <= MAX_LINE_BYTES:
             return None
-        return self._read(line)
+        return self._parse(line)
 
     def end(self) -> Call | None:
         """The caller has ended its sending."""
-        return None if self.over else self._read(self._line)
+        return None if self.is_finished else self._parse(self._line)
 
-    def _read(self, line: bytes) -> Call:
-        self.over, self._line = True, b""
-        if len(line) > MOST:
+    def _parse(self, line: bytes) -> Call:
+        self.is_finished, self._line = True, b""
+        if len(line) > MAX_LINE_BYTES:
             raise BadCallError("the line is too long")
         try:
             words = line.decode("ascii").split()
@@ -61,11 +61,11 @@
         return Call(words[0], tuple(words[1:]))
 
 
-def good(text: str) -> bytes:
+def ok_answer(text: str) -> bytes:
     """The answer to a call that was done."""
     return f"+OK {text}".rstrip().encode("ascii", "replace") + b"\r\n"
 
 
-def bad(text: str) -> bytes:
+def error_answer(text: str) -> bytes:
     """The answer to one that was not."""
     return f"-ERR {text}".encode("ascii", "replace") + b"\r\n"
--- a/whinrouter/handover/connections.py
+++ b/whinrouter/handover/connections.py
@@ -8,21 +8,21 @@
 from whinrouter.handover.relayed import RelayedAnswer
 from whinrouter.handover.transfer import (
     AdoptedConnection,
-    NoRoomError,
-    PassedAnswer,
-    PassedClient,
-    PassedMessage,
-    PassedUpload,
+    AnswerTransfer,
+    ClientTransfer,
+    NoCapacityError,
+    TransferMessage,
+    UploadTransfer,
 )
-from whinrouter.net.attempt import Target
+from whinrouter.net.attempt import TargetHost
 from whinrouter.net.connection_state import ConnectionState
 from whinrouter.net.frontend import ClientConnection, Frontend
-from whinrouter.net.gateway import PassedRequest
-from whinrouter.net.http import LAST_CHUNK, chunk
-from whinrouter.net.upstream import HostConnection, Upstream
+from whinrouter.net.gateway import HandedOverRequest
+from whinrouter.net.http import LAST_CHUNK, encode_chunk
+from whinrouter.net.upstream import ConnectionPool, HostConnection
 from whinrouter.streaming.remainder import MovableSource
 
-PASSABLE = frozenset(
+TRANSFERABLE_STATES = frozenset(
     {
         ConnectionState.IDLE,
         ConnectionState.RECEIVING,
@@ -34,29 +34,29 @@
 
 
 def _framed(body: bytes, chunked: bool) -> bytes:
-    return chunk(body) if chunked and body else body
+    return encode_chunk(body) if chunked and body else body
 
 
-class ConnectionUnderWay:
+class ActiveConnection:
     """One client's connection, in whichever state it is."""
 
-    def __init__(self, front: Frontend, client: ClientConnection) -> None:
-        self._front, self._client = front, client
+    def __init__(self, frontend: Frontend, client: ClientConnection) -> None:
+        self._frontend, self._client = frontend, client
         self._state = client.state
-        self._request = client.request
+        self._request = client.request_id
         self._host: HostConnection | None = None  # where a body is on its way to or from one
 
     @property
     def is_over(self) -> bool:
         client = self._client
-        return client.state is not self._state or client.request != self._request
+        return client.state is not self._state or client.request_id != self._request
 
-    def pause(self) -> PassedMessage | None:
+    def pause(self) -> TransferMessage | None:
         match self._state:
             case ConnectionState.IDLE | ConnectionState.RECEIVING:
                 return self._pause_input()
             case ConnectionState.FLUSHING:
-                return PassedClient(b"", self._client.freeze(), closes=True)
+                return ClientTransfer(b"", self._client.freeze(), closes_connection=True)
             case ConnectionState.ANSWERING:
                 return self._pause_answer()
             case ConnectionState.UPLOADING:
@@ -64,47 +64,54 @@
             case _:
                 return None
 
-    def _pause_input(self) -> PassedClient | None:
-        incoming = self._client.input.received()
+    def _pause_input(self) -> ClientTransfer | None:
+        incoming = self._client.request_reader.replayable_input()
         if incoming is None:
             return None
-        return PassedClient(incoming, self._client.freeze(), closes=False)
+        return ClientTransfer(incoming, self._client.freeze(), closes_connection=False)
 
-    def _pause_answer(self) -> PassedMessage | None:
-        client, flow = self._client, self._client.passed_on
+    def _pause_answer(self) -> TransferMessage | None:
+        client, flow = self._client, self._client.answer_flow
         assert flow is not None
-        chunked = client.chunked
-        if flow.came:  # all of it is here, and its reader is slow
-            rest = _framed(flow.kept, chunked) + (LAST_CHUNK if chunked else b"")
-            return PassedClient(b"", client.freeze() + rest, closes=True)
+        chunked = client.is_answer_chunked
+        if flow.is_received:  # all of it is here, and its reader is slow
+            pending_output = _framed(flow.unsent, chunked) + (LAST_CHUNK if chunked else b"")
+            return ClientTransfer(b"", client.freeze() + pending_output, closes_connection=True)
         source = flow.source
         remainder = source.remainder() if isinstance(source, MovableSource) else None
         if remainder is None or not isinstance(source, HostConnection):
             return None
         self._host = source
         source.freeze()
-        to_client = client.freeze() + _framed(flow.kept, chunked)
-        return PassedAnswer(remainder, flow.length, chunked, to_client)
-
-    def _pause_upload(self) -> PassedUpload | None:
-        client, flow = self._client, self._client.upload
-        passed = self._front.gateway.passable(self._request) if self._request is not None else None
-        remainder = client.input.remainder()
-        if flow is None or passed is None or remainder is None or not isinstance(flow.sink, HostConnection):
+        client_output = client.freeze() + _framed(flow.unsent, chunked)
+        return AnswerTransfer(remainder, flow.length, chunked, client_output)
+
+    def _pause_upload(self) -> UploadTransfer | None:
+        client, flow = self._client, self._client.request_flow
+        passed_request = (
+            self._frontend.gateway.describe_for_handover(self._request) if self._request is not None else None
+        )
+        remainder = client.request_reader.remainder()
+        if (
+            flow is None
+            or passed_request is None
+            or remainder is None
+            or not isinstance(flow.sink, HostConnection)
+        ):
             return None
         self._host = flow.sink
-        to_host = self._host.freeze() + _framed(flow.kept, flow.length is None)
-        return PassedUpload(
+        host_output = self._host.freeze() + _framed(flow.unsent, flow.length is None)
+        return UploadTransfer(
             remainder,
-            client.input.passed,
+            client.request_reader.streamed_bytes,
             flow.length,
-            client.ends_with_answer,
-            passed.name,
-            passed.class_name,
-            passed.patience,
-            passed.server,
+            client.closes_after_answer,
+            passed_request.client_request_id,
+            passed_request.class_name,
+            passed_request.client_timeout,
+            passed_request.server,
             client.freeze(),
-            to_host,
+            host_output,
         )
 
     def descriptors(self) -> tuple[int, ...]:
@@ -117,16 +124,16 @@
         if self._host is not None:
             self._host.thaw()
 
-    def let_go(self) -> None:
-        flow = self._client.passed_on
+    def detach(self) -> None:
+        flow = self._client.answer_flow
         if flow is not None:
             flow.release()
-        self._client.let_go()
+        self._client.release_connection()
         if self._host is not None:
-            self._host.let_go()
+            self._host.release()
 
 
-class RelayUnderWay:
+class ActiveRelay:
     """An answer that came from an older process, on its way to a newer one."""
 
     def __init__(self, answer: RelayedAnswer) -> None:
@@ -136,42 +143,42 @@
     def is_over(self) -> bool:
         return self._answer.is_over
 
-    def pause(self) -> PassedMessage | None:
+    def pause(self) -> TransferMessage | None:
         answer, flow = self._answer, self._answer.flow
-        kept = _framed(flow.kept, answer.chunked)
-        if flow.came:
-            is_ended = not kept and answer.chunked  # with nothing kept its end was written already
-            end = LAST_CHUNK if answer.chunked and not is_ended else b""
-            return PassedClient(b"", answer.client.freeze() + kept + end, closes=True)
+        kept = _framed(flow.unsent, answer.chunked)
+        if flow.is_received:
+            is_end_written = not kept and answer.chunked  # with nothing kept its end was written already
+            final_chunk = LAST_CHUNK if answer.chunked and not is_end_written else b""
+            return ClientTransfer(b"", answer.client.freeze() + kept + final_chunk, closes_connection=True)
         remainder = answer.reader.remainder()
         if remainder is None:
             return None
         answer.host.freeze()
-        return PassedAnswer(remainder, flow.length, answer.chunked, answer.client.freeze() + kept)
+        return AnswerTransfer(remainder, flow.length, answer.chunked, answer.client.freeze() + kept)
 
     def descriptors(self) -> tuple[int, ...]:
         client = self._answer.client.descriptor
-        return (client,) if self._answer.flow.came else (client, self._answer.host.descriptor)
+        return (client,) if self._answer.flow.is_received else (client, self._answer.host.descriptor)
 
     def resume(self) -> None:
         self._answer.client.thaw()
         self._answer.host.thaw()
 
-    def let_go(self) -> None:
+    def detach(self) -> None:
         self._answer.abandon()
 
 
 class _AdoptedClient:
     """A client's connection with no request sent on."""
 
-    def __init__(self, message: PassedClient, client: ClientConnection) -> None:
+    def __init__(self, message: ClientTransfer, client: ClientConnection) -> None:
         self._message, self._client = message, client
 
-    def begin(self) -> None:
-        if self._message.closes:
+    def activate(self) -> None:
+        if self._message.closes_connection:
             self._client.flush_and_close()
         else:
-            self._client.take_up(self._message.incoming)
+            self._client.resume_input(self._message.unread_input)
 
     def abandon(self) -> None:
         self._client.abandon()
@@ -181,16 +188,22 @@
     """A request whose body is on its way to its host."""
 
     def __init__(
-        self, message: PassedUpload, client: ClientConnection, host: Target, connection: HostConnection
+        self, message: UploadTransfer, client: ClientConnection, host: TargetHost, connection: HostConnection
     ) -> None:
         self._client, self._host, self._connection = client, host, connection
-        self._passed = PassedRequest(message.name, message.class_name, message.patience, message.server)
+        self._passed_request = HandedOverRequest(
+            message.request_id, message.class_name, message.answer_timeout, message.server_id
+        )
         self._body = client.resume_upload(
-            self._passed, message.remainder, message.received, message.length, message.closes
+            self._passed_request,
+            message.remainder,
+            message.received_bytes,
+            message.body_length,
+            message.closes_connection,
         )
 
-    def begin(self) -> None:
-        self._client.resume_request(self._passed, self._body, self._host, self._connection)
+    def activate(self) -> None:
+        self._client.resume_request(self._passed_request, self._body, self._host, self._connection)
         self._connection.thaw()
         self._client.thaw()
 
@@ -199,18 +212,18 @@
         self._connection.drop()
 
 
-def adopter(
-    front: Frontend, upstream: Upstream
-) -> Callable[[PassedClient | PassedUpload, list[socket.socket]], AdoptedConnection]:
+def connection_adopter(
+    frontend: Frontend, upstream: ConnectionPool
+) -> Callable[[ClientTransfer | UploadTransfer, list[socket.socket]], AdoptedConnection]:
     """What sets up a connection of another process in this one."""
 
-    def adopt(message: PassedClient | PassedUpload, sockets: list[socket.socket]) -> AdoptedConnection:
-        if not front.has_room:
-            raise NoRoomError("no place for another connection")
-        client = front.adopt(sockets[0], message.to_client)
-        if isinstance(message, PassedClient):
+    def adopt(message: ClientTransfer | UploadTransfer, sockets: list[socket.socket]) -> AdoptedConnection:
+        if not frontend.has_room:
+            raise NoCapacityError("no place for another connection")
+        client = frontend.adopt_connection(sockets[0], message.client_output)
+        if isinstance(message, ClientTransfer):
             return _AdoptedClient(message, client)
-        host, connection = upstream.adopt(message.server, sockets[1], message.to_host)
+        host, connection = upstream.adopt(message.server_id, sockets[1], message.host_output)
         return _AdoptedUpload(message, client, host, connection)
 
     return adopt
--- a/whinrouter/handover/messages.py
+++ b/whinrouter/handover/messages.py
@@ -14,17 +14,17 @@
 
 import msgspec
 
-from whinrouter.learned_state import Learnt
+from whinrouter.learned_state import LearnedState
 from whinrouter.membership.start_times import StartAge
 
 MAGIC = b"CLH2"
 # Bytes of a payload. A host takes some 200 with what was learnt of it: this is for ten times the largest
 # fleet.
-MOST = 4 * 1024 * 1024
-_HEAD = struct.Struct(">4sII")
+MAX_PAYLOAD_BYTES = 4 * 1024 * 1024
+_HEADER = struct.Struct(">4sII")
 
 
-class TornError(Exception):
+class ProtocolError(Exception):
     """What came is no message of this version."""
 
 
@@ -38,13 +38,13 @@
 
     name: str
     listen: str
-    socket: int
+    socket_inode: int
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class HostEntry(msgspec.Struct, frozen=True, array_like=True):
     """A host, and where it listens."""
 
-    server: int
+    server_id: int
     host: str
     port: int
     state: str
@@ -52,20 +52,20 @@
     kind: str
     cell: int
     weight: float
-    started: int  # Unix time, as it is listed
+    started_at: int  # Unix time, as it is listed
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """All that the older process knows, as it is asked."""
 
-    source: str  # whose revision it is
+    discovery_source: str  # whose revision it is
     revision: int
-    hosts: tuple[Row, ...]  # as discovery lists them
-    out: dict[int, int]  # how long ago hosts were taken out, in microseconds
-    back: dict[int, int]  # and put back
-    starts: dict[int, StartAge]  # of the hosts, with the ages that they have here
-    leaving: bool
-    learnt: Learnt
+    hosts: tuple[HostEntry, ...]  # as discovery lists them
+    out_ages: dict[int, int]  # how long ago hosts were taken out, in microseconds
+    back_ages: dict[int, int]  # and put back
+    start_ages: dict[int, StartAge]  # of the hosts, with the ages that they have here
+    is_leaving: bool
+    learned: LearnedState
 
 
 class Ready(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -82,14 +82,14 @@
     """An operator has called this at the other process."""
 
     name: str
-    word: str
+    argument: str
 
 
 class Stopped(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """Hosts that drain or are gone, as the other process was told."""
 
     revision: int
-    hosts: tuple[Row, ...]
+    hosts: tuple[HostEntry, ...]
 
 
 Message = Hello | Snapshot | Ready | Holding | Called | Stopped
@@ -97,34 +97,34 @@
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
-def frame(message: Message) -> bytes:
+def encode_frame(message: Message) -> bytes:
     """The bytes of a message."""
     payload = msgspec.msgpack.encode(message)
-    return _HEAD.pack(MAGIC, len(payload), zlib.crc32(payload)) + payload
+    return _HEADER.pack(MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
-class Frames:
+class FrameDecoder:
     """Takes bytes in any pieces and gives out the messages that are whole."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[Message]:
         """Take what came; TornError if it can't be read, after which nothing may follow."""
-        self._rest += data
+        self._buffer += data
         messages = []
-        while len(self._rest) >= _HEAD.size:
-            magic, length, told = _HEAD.unpack_from(self._rest)
-            if magic != MAGIC or length > MOST:
-                raise TornError("no frame of this version")
-            if len(self._rest) < _HEAD.size + length:
+        while len(self._buffer) >= _HEADER.size:
+            magic, length, checksum = _HEADER.unpack_from(self._buffer)
+            if magic != MAGIC or length > MAX_PAYLOAD_BYTES:
+                raise ProtocolError("no frame of this version")
+            if len(self._buffer) < _HEADER.size + length:
                 break
-            payload = self._rest[_HEAD.size : _HEAD.size + length]
-            self._rest = self._rest[_HEAD.size + length :]
-            if zlib.crc32(payload) != told:
-                raise TornError("a frame is not what was sent")
+            payload = self._buffer[_HEADER.size : _HEADER.size + length]
+            self._buffer = self._buffer[_HEADER.size + length :]
+            if zlib.crc32(payload) != checksum:
+                raise ProtocolError("a frame is not what was sent")
             try:
                 messages.append(_decoder.decode(payload))
             except (msgspec.DecodeError, UnicodeDecodeError) as error:
-                raise TornError(str(error)) from None
+                raise ProtocolError(str(error)) from None
         return messages
--- a/whinrouter/handover/relayed.py
+++ b/whinrouter/handover/relayed.py
@@ -7,16 +7,16 @@
 import socket
 from collections.abc import Callable
 
-from whinrouter.net.http import LAST_CHUNK, chunk
-from whinrouter.net.sockets import acknowledged, reset
+from whinrouter.net.http import LAST_CHUNK, encode_chunk
+from whinrouter.net.sockets import acknowledged_bytes, reset
 from whinrouter.net.transport import SocketTransport
-from whinrouter.streaming.flow import STALL, TAKES, Flow
+from whinrouter.streaming.flow import READER_TIMEOUT_SECONDS, STALL_SECONDS, Flow
 from whinrouter.streaming.remainder import BrokenRemainderError, Remainder, RemainderReader
 
 log = logging.getLogger(__name__)
 
-LINGER = 0.5  # seconds for which a client may take to see the end of its answer
-LOOK_EVERY = 0.25
+CLIENT_LINGER_SECONDS = 0.5  # seconds for which a client may take to see the end of its answer
+DRAIN_CHECK_SECONDS = 0.25
 
 
 class RelayedAnswer:
@@ -28,39 +28,39 @@
         length: int | None,
         chunked: bool,
         now: Callable[[], float],
-        done: Callable[[RelayedAnswer], None],
+        on_done: Callable[[RelayedAnswer], None],
     ) -> None:
         """`length`: bytes of the whole body, if told; `chunked`: its client has it in chunks."""
-        self.chunked, self.now, self._done = chunked, now, done
+        self.chunked, self.now, self._on_done = chunked, now, on_done
         self.reader = RemainderReader(remainder)
-        self.client = _ClientEnd(self)
-        self.host = _HostEnd(self)
-        self.flow = Flow(self.host, length, now(), STALL, 0.0)
+        self.client = _ClientSide(self)
+        self.host = _HostSide(self)
+        self.flow = Flow(self.host, length, now(), STALL_SECONDS, 0.0)
         self.is_over = False
 
-    def connect(self, client: socket.socket, host: socket.socket, to_client: bytes) -> None:
+    def connect(self, client: socket.socket, host: socket.socket, client_output: bytes) -> None:
         """Set both up, frozen. `to_client`: bytes that go out ahead of all others."""
-        SocketTransport(host, self.host, frozen=True)
-        SocketTransport(client, self.client, to_client, frozen=True)
+        SocketTransport(host, self.host, is_frozen=True)
+        SocketTransport(client, self.client, client_output, is_frozen=True)
 
-    def begin(self) -> None:
+    def activate(self) -> None:
         """Both are ours alone."""
         log.info("handover: going on with an answer, %s", self.reader.remainder())
         self.flow.attach(self.client, self.now())
         if self.client.is_full:
-            self.flow.full(self.now())
+            self.flow.sink_full(self.now())
         self.client.thaw()
         self.host.thaw()
 
     def abandon(self) -> None:
         """It stays with the process that offered it."""
         self.flow.release()
-        self.end()
+        self.close()
 
-    def write(self, transport: asyncio.Transport, data: bytes) -> None:
-        transport.write(chunk(data) if self.chunked else data)
+    def write_to_client(self, transport: asyncio.Transport, data: bytes) -> None:
+        transport.write(encode_chunk(data) if self.chunked else data)
 
-    def came(self, data: bytes) -> None:
+    def host_data_received(self, data: bytes) -> None:
         """The host gave more of it."""
         try:
             body = self.reader.feed(data)
@@ -73,7 +73,7 @@
         if self.reader.is_whole:
             self.flow.end()
 
-    def host_ended(self, by_reset: bool) -> None:
+    def host_closed(self, by_reset: bool) -> None:
         """The host's connection is over."""
         if not self.reader.is_whole:
             if not by_reset and self.reader.end():
@@ -81,38 +81,42 @@
             else:
                 self.flow.fail()
 
-    def whole(self, transport: asyncio.Transport) -> None:
+    def finish_client(self, transport: asyncio.Transport) -> None:
         """Its client has all of it: the connection ends behind it."""
         if self.chunked:
             transport.write(LAST_CHUNK)
         transport.write_eof()
-        self._wait_for_reader(transport, self.now() + TAKES, self.client.taken())
+        self._close_when_drained(
+            transport, self.now() + READER_TIMEOUT_SECONDS, self.client.bytes_delivered()
+        )
 
-    def _wait_for_reader(self, transport: asyncio.Transport, ends: float, taken: int) -> None:
+    def _close_when_drained(
+        self, transport: asyncio.Transport, deadline: float, acknowledged_bytes: int
+    ) -> None:
         """End once the last byte has gone out; a slow reader has time for as long as it reads."""
-        loop, latest = asyncio.get_running_loop(), self.client.taken()
-        if latest > taken:
-            ends = self.now() + TAKES
-        if transport.get_write_buffer_size() == 0 or self.now() >= ends:
-            loop.call_later(LINGER, self.end)
+        loop, latest_bytes = asyncio.get_running_loop(), self.client.bytes_delivered()
+        if latest_bytes > acknowledged_bytes:
+            deadline = self.now() + READER_TIMEOUT_SECONDS
+        if transport.get_write_buffer_size() == 0 or self.now() >= deadline:
+            loop.call_later(CLIENT_LINGER_SECONDS, self.close)
         else:
-            loop.call_later(LOOK_EVERY, self._wait_for_reader, transport, ends, latest)
+            loop.call_later(DRAIN_CHECK_SECONDS, self._close_when_drained, transport, deadline, latest_bytes)
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close both."""
         self.is_over = True
         self.host.drop()
         self.client.drop()
-        self._done(self)
+        self._on_done(self)
 
     def end_if_stuck(self, now: float) -> None:
         """Cut it off if neither side has moved it for too long."""
-        if self.flow.overdue(now) and not self.client.is_frozen:
+        if self.flow.is_overdue(now) and not self.client.is_frozen:
             log.warning("a body that was passed on is not moved any more: %s", self.flow)
-            self.client.cut()
+            self.client.abort_body()
 
 
-class _End(asyncio.Protocol):
+class _Side(asyncio.Protocol):
     def __init__(self, answer: RelayedAnswer) -> None:
         self._answer = answer
         self.transport: SocketTransport | None = None
@@ -134,7 +138,7 @@
     @property
     def is_full(self) -> bool:
         """Whether it takes no more for now."""
-        return self.transport is not None and self.transport.is_full
+        return self.transport is not None and self.transport.is_writing_paused
 
     def freeze(self) -> bytes:
         """Neither read nor write; the bytes that have not gone out."""
@@ -151,31 +155,31 @@
             self.transport.abort()
 
 
-class _HostEnd(_End):
+class _HostSide(_Side):
     """Where the answer comes from."""
 
     def data_received(self, data: bytes) -> None:
-        self._answer.came(data)
+        self._answer.host_data_received(data)
 
     def eof_received(self) -> None:
-        self._answer.host_ended(by_reset=False)
+        self._answer.host_closed(by_reset=False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._answer.host_ended(by_reset=exc is not None)
+        self._answer.host_closed(by_reset=exc is not None)
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def unwanted(self) -> None:
+    def cancel_reading(self) -> None:
         self.drop()
 
 
-class _ClientEnd(_End):
+class _ClientSide(_Side):
     """Where it goes. What the client sends behind its request is not read: the connection ends."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -183,28 +187,28 @@
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=64 * 1024)
 
-    def take(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self._answer.write(self.transport, data)
+            self._answer.write_to_client(self.transport, data)
 
-    def took_all(self) -> None:
+    def finish_body(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self._answer.whole(self.transport)
+            self._answer.finish_client(self.transport)
 
-    def cut(self) -> None:
+    def abort_body(self) -> None:
         if self.transport is not None:
             reset(self.transport)
-        self._answer.end()
+        self._answer.close()
 
-    def taken(self) -> int:
-        return acknowledged(self.transport) if self.transport is not None else -1
+    def bytes_delivered(self) -> int:
+        return acknowledged_bytes(self.transport) if self.transport is not None else -1
 
     def pause_writing(self) -> None:
-        self._answer.flow.full(self._answer.now())
+        self._answer.flow.sink_full(self._answer.now())
 
     def resume_writing(self) -> None:
-        self._answer.flow.room(self._answer.now())
+        self._answer.flow.sink_ready(self._answer.now())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._answer.flow.cancel()
-        self._answer.end()
+        self._answer.close()
--- a/whinrouter/handover/session.py
+++ b/whinrouter/handover/session.py
@@ -15,63 +15,65 @@
 
 from whinrouter.handover.messages import (
     Called,
-    Frames,
+    FrameDecoder,
     Hello,
     Holding,
     Message,
+    ProtocolError,
     Ready,
     Snapshot,
     Stopped,
-    TornError,
 )
 
 
-class Step(Enum):
+class Phase(Enum):
     """How far the two are."""
 
-    ASKED = "asked"
-    GIVEN = "given"
-    BESIDE = "beside"
-    OVER = "over"
+    HANDSHAKE = "asked"
+    SYNCED = "given"
+    BOTH_SERVING = "beside"
+    CLOSED = "over"
 
 
 # What may come, by side and step.
-_OLDER: dict[Step, tuple[type, ...]] = {
-    Step.ASKED: (Hello,),
-    Step.GIVEN: (Ready, Called, Stopped),
-    Step.BESIDE: (Called, Stopped),
-    Step.OVER: (),
+_ACCEPTED_BY_OLDER: dict[Phase, tuple[type, ...]] = {
+    Phase.HANDSHAKE: (Hello,),
+    Phase.SYNCED: (Ready, Called, Stopped),
+    Phase.BOTH_SERVING: (Called, Stopped),
+    Phase.CLOSED: (),
 }
-_NEWER: dict[Step, tuple[type, ...]] = {
-    Step.ASKED: (Snapshot,),
-    Step.GIVEN: (Called, Stopped, Holding),
-    Step.BESIDE: (Called, Stopped, Holding),
-    Step.OVER: (),
+_ACCEPTED_BY_NEWER: dict[Phase, tuple[type, ...]] = {
+    Phase.HANDSHAKE: (Snapshot,),
+    Phase.SYNCED: (Called, Stopped, Holding),
+    Phase.BOTH_SERVING: (Called, Stopped, Holding),
+    Phase.CLOSED: (),
 }
-_AFTER: dict[type, Step] = {Hello: Step.GIVEN, Snapshot: Step.GIVEN, Ready: Step.BESIDE}
+_NEXT_PHASE: dict[type, Phase] = {Hello: Phase.SYNCED, Snapshot: Phase.SYNCED, Ready: Phase.BOTH_SERVING}
 
 
-class Line:
+class HandoverSession:
     """One side of the line."""
 
-    def __init__(self, newer: bool) -> None:
-        self.newer = newer
-        self.step = Step.ASKED
-        self._frames = Frames()
+    def __init__(self, is_newer: bool) -> None:
+        self.is_newer = is_newer
+        self.phase = Phase.HANDSHAKE
+        self._decoder = FrameDecoder()
 
     def feed(self, data: bytes) -> list[Message]:
         """What the other side has said; TornError if it may not, or can't be read."""
-        messages = self._frames.feed(data)
+        messages = self._decoder.feed(data)
         for message in messages:
-            if not isinstance(message, (_NEWER if self.newer else _OLDER)[self.step]):
-                raise TornError(f"{type(message).__name__} came while {self.step.value}")
-            self.step = _AFTER.get(type(message), self.step)
+            if not isinstance(
+                message, (_ACCEPTED_BY_NEWER if self.is_newer else _ACCEPTED_BY_OLDER)[self.phase]
+            ):
+                raise ProtocolError(f"{type(message).__name__} came while {self.phase.value}")
+            self.phase = _NEXT_PHASE.get(type(message), self.phase)
         return messages
 
-    def ready(self) -> None:
+    def mark_ready(self) -> None:
         """This side, the newer, has said that it serves."""
-        self.step = Step.BESIDE
+        self.phase = Phase.BOTH_SERVING
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Nothing more is said."""
-        self.step = Step.OVER
+        self.phase = Phase.CLOSED
--- a/whinrouter/handover/transfer.py
+++ b/whinrouter/handover/transfer.py
@@ -32,64 +32,64 @@
 import msgspec
 
 from whinrouter.handover.relayed import RelayedAnswer
-from whinrouter.net.connect import LISTEN_PAUSES, with_retries
+from whinrouter.net.connect import LISTEN_RETRY_SECONDS, with_retries
 from whinrouter.streaming.remainder import Remainder
 
 log = logging.getLogger(__name__)
 
 # Bytes of a message: what may be buffered of one connection, for its client and for its host, and its head.
-MOST_MESSAGE = 512 * 1024
-PACKET = 32 * 1024  # bytes of one packet
-MOST_DESCRIPTORS = 2  # in one message
-MOST_PASSED = 256  # answers that a process goes on with
-HELD = b"held"
-ANSWER_TIME = 1.0  # seconds within which the newer process says that it holds both
-LOOK_TIME = 3.0  # seconds within which the framing has to be such that it can be told
-LOOK_EVERY = 0.005
-SWEEP_EVERY = 0.25
-_LENGTH = struct.Struct(">I")
-
-
-class PassedAnswer(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
+MAX_MESSAGE_BYTES = 512 * 1024
+PACKET_BYTES = 32 * 1024  # bytes of one packet
+MAX_DESCRIPTORS = 2  # in one message
+MAX_RELAYED_ANSWERS = 256  # answers that a process goes on with
+HELD_REPLY = b"held"
+REPLY_TIMEOUT_SECONDS = 1.0  # seconds within which the newer process says that it holds both
+PAUSE_TIMEOUT_SECONDS = 3.0  # seconds within which the framing has to be such that it can be told
+POLL_INTERVAL_SECONDS = 0.005
+STUCK_CHECK_SECONDS = 0.25
+_LENGTH_PREFIX = struct.Struct(">I")
+
+
+class AnswerTransfer(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
     """An answer that is under way: the client's and the host's sockets."""
 
     remainder: Remainder
-    length: int | None  # bytes of the whole body, as its client was told
+    body_length: int | None  # bytes of the whole body, as its client was told
     chunked: bool  # its client has it in chunks
-    to_client: bytes = b""  # ready to be written
+    client_output: bytes = b""  # ready to be written
 
 
-class PassedClient(msgspec.Struct, frozen=True, array_like=True, tag="client"):
+class ClientTransfer(msgspec.Struct, frozen=True, array_like=True, tag="client"):
     """A client's connection between requests, or within one of which nothing was sent on: its socket."""
 
-    incoming: bytes  # read, and not used
-    to_client: bytes  # ready to be written
-    closes: bool  # it ends behind them
+    unread_input: bytes  # read, and not used
+    client_output: bytes  # ready to be written
+    closes_connection: bool  # it ends behind them
 
 
-class PassedUpload(msgspec.Struct, frozen=True, array_like=True, tag="upload"):
+class UploadTransfer(msgspec.Struct, frozen=True, array_like=True, tag="upload"):
     """A request whose body is on its way to the host that has a part of it: both sockets."""
 
     remainder: Remainder  # of the body, as its client sends it
-    received: int  # bytes of it that have come
-    length: int | None  # of the whole body, as it was told
-    closes: bool  # the connection ends behind the answer
-    name: str
+    received_bytes: int  # bytes of it that have come
+    body_length: int | None  # of the whole body, as it was told
+    closes_connection: bool  # the connection ends behind the answer
+    request_id: str
     class_name: str
-    patience: int  # microseconds that its client waits from the end of the body
-    server: int
-    to_client: bytes
-    to_host: bytes
+    answer_timeout: int  # microseconds that its client waits from the end of the body
+    server_id: int
+    client_output: bytes
+    host_output: bytes
 
 
-PassedMessage = PassedAnswer | PassedClient | PassedUpload
-_decoder: msgspec.msgpack.Decoder[PassedMessage] = msgspec.msgpack.Decoder(PassedMessage)
+TransferMessage = AnswerTransfer | ClientTransfer | UploadTransfer
+_decoder: msgspec.msgpack.Decoder[TransferMessage] = msgspec.msgpack.Decoder(TransferMessage)
 
 
-class PassableConnection(Protocol):
+class TransferableConnection(Protocol):
     """A connection here, as far as handing it over needs to know."""
 
-    def pause(self) -> PassedMessage | None:
+    def pause(self) -> TransferMessage | None:
         """Freeze it; None if it can't be told now what is to come, and it goes on."""
 
     @property
@@ -102,106 +102,106 @@
     def resume(self) -> None:
         """It stays here: go on."""
 
-    def let_go(self) -> None:
+    def detach(self) -> None:
         """Another process holds it: close it here, without a word to either peer."""
 
 
 class AdoptedConnection(Protocol):
     """A connection of another process that is set up here, and frozen."""
 
-    def begin(self) -> None:
+    def activate(self) -> None:
         """It is ours alone: go on."""
 
     def abandon(self) -> None:
         """It stays with the other process."""
 
 
-Adopt = Callable[[PassedClient | PassedUpload, list[socket.socket]], AdoptedConnection]
+Adopt = Callable[[ClientTransfer | UploadTransfer, list[socket.socket]], AdoptedConnection]
 
 
-class NoRoomError(Exception):
+class NoCapacityError(Exception):
     """There is no place for another connection here."""
 
 
 @contextlib.contextmanager
-def _short(path: Path) -> Iterator[str]:
+def _short_path(path: Path) -> Iterator[str]:
     """The path in few enough characters for a socket's name (108)."""
-    folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
+    directory = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{folder}/{path.name}"
+        yield f"/proc/self/fd/{directory}/{path.name}"
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
-def packets(message: PassedMessage) -> list[bytes]:
+def split_packets(message: TransferMessage) -> list[bytes]:
     """A message as it is sent: its length, and its text in parts."""
-    text = msgspec.msgpack.encode(message)
-    whole = _LENGTH.pack(len(text)) + text
-    return [whole[place : place + PACKET] for place in range(0, len(whole), PACKET)]
+    payload = msgspec.msgpack.encode(message)
+    framed = _LENGTH_PREFIX.pack(len(payload)) + payload
+    return [framed[offset : offset + PACKET_BYTES] for offset in range(0, len(framed), PACKET_BYTES)]
 
 
-class Offering:
+class TransferSender:
     """The older process's side."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
 
-    async def hand_over(self, connection: PassableConnection) -> bool:
+    async def hand_over(self, connection: TransferableConnection) -> bool:
         """Whether it is the newer process's now; if not it goes on here, unless it is over."""
-        message = await self._paused(connection)
+        message = await self._wait_until_paused(connection)
         if message is None:
             return False
         try:
-            is_held = await self._offer(connection, message)
+            is_held = await self._send_connection(connection, message)
         except (OSError, TimeoutError) as error:
             log.warning("handover: a connection can't be passed on: %s", error or "no word in time")
             is_held = False
         if is_held:
-            connection.let_go()
+            connection.detach()
         else:
             connection.resume()
         return is_held
 
-    async def _paused(self, connection: PassableConnection) -> PassedMessage | None:
+    async def _wait_until_paused(self, connection: TransferableConnection) -> TransferMessage | None:
         loop = asyncio.get_running_loop()
-        ends = loop.time() + LOOK_TIME
-        while not connection.is_over and loop.time() < ends:
+        deadline = loop.time() + PAUSE_TIMEOUT_SECONDS
+        while not connection.is_over and loop.time() < deadline:
             message = connection.pause()
             if message is not None:
                 return message
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         return None
 
-    async def _offer(self, connection: PassableConnection, message: PassedMessage) -> bool:
+    async def _send_connection(self, connection: TransferableConnection, message: TransferMessage) -> bool:
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as endpoint:
             endpoint.setblocking(False)
-            with _short(self._path) as short:
+            with _short_path(self._path) as short:
                 endpoint.connect(short)
-            first, *others = packets(message)
+            first, *rest = split_packets(message)
             socket.send_fds(endpoint, [first], list(connection.descriptors()))
             try:
-                async with asyncio.timeout(ANSWER_TIME):
-                    return await self._said_held(endpoint, others)
+                async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
+                    return await self._send_rest_and_wait(endpoint, rest)
             except TimeoutError:
-                return _said_in_time(endpoint)
+                return _shut_and_check_held(endpoint)
 
-    async def _said_held(self, endpoint: socket.socket, others: list[bytes]) -> bool:
+    async def _send_rest_and_wait(self, endpoint: socket.socket, rest: list[bytes]) -> bool:
         loop = asyncio.get_running_loop()
-        for packet in others:
+        for packet in rest:
             await loop.sock_sendall(endpoint, packet)
-        return await loop.sock_recv(endpoint, len(HELD)) == HELD
+        return await loop.sock_recv(endpoint, len(HELD_REPLY)) == HELD_REPLY
 
 
-def _said_in_time(endpoint: socket.socket) -> bool:
+def _shut_and_check_held(endpoint: socket.socket) -> bool:
     """Whether "held" has come after all; from now on it can't."""
     endpoint.shutdown(socket.SHUT_RD)
     try:
-        return endpoint.recv(len(HELD)) == HELD
+        return endpoint.recv(len(HELD_REPLY)) == HELD_REPLY
     except BlockingIOError:
         return False
 
 
-class Taking:
+class TransferReceiver:
     """The newer process's side: it goes on with what older ones began."""
 
     def __init__(self, path: Path, now: Callable[[], float], adopt: Adopt | None = None) -> None:
@@ -215,22 +215,22 @@
         """Be the one at the path."""
         self.close()
         try:
-            await with_retries(self._listen, LISTEN_PAUSES)
+            await with_retries(self._listen, LISTEN_RETRY_SECONDS)
         except OSError as error:
             log.warning("handover: no connection can be passed on here (%s)", error)
 
     async def _listen(self) -> None:
-        fresh = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        temporary_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             with contextlib.suppress(FileNotFoundError):
-                fresh.unlink()
-            with _short(fresh) as short:
+                temporary_path.unlink()
+            with _short_path(temporary_path) as short:
                 listener.bind(short)
-            fresh.chmod(0o600)
-            listener.listen(MOST_PASSED)
+            temporary_path.chmod(0o600)
+            listener.listen(MAX_RELAYED_ANSWERS)
             listener.setblocking(False)
-            fresh.rename(self._path)
+            temporary_path.rename(self._path)
         except OSError:
             listener.close()
             raise
@@ -238,7 +238,7 @@
         loop = asyncio.get_running_loop()
         loop.add_reader(listener, self._accept)
         if not self._tasks:
-            self._start(self._sweep())
+            self._start_task(self._end_stuck_answers())
 
     def close(self) -> None:
         """Take nothing more; what was taken goes on."""
@@ -247,15 +247,15 @@
             self._listener.close()
             self._listener = None
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _sweep(self) -> None:
+    async def _end_stuck_answers(self) -> None:
         """End what nobody moves."""
         while True:
-            await asyncio.sleep(SWEEP_EVERY)
+            await asyncio.sleep(STUCK_CHECK_SECONDS)
             for answer in list(self.answers):
                 answer.end_if_stuck(self._now())
 
@@ -264,78 +264,78 @@
         with contextlib.suppress(OSError):  # the next look finds what waits
             endpoint, _ = self._listener.accept()
             endpoint.setblocking(False)
-            self._start(self._take(endpoint))
+            self._start_task(self._handle_transfer(endpoint))
 
-    async def _take(self, endpoint: socket.socket) -> None:
+    async def _handle_transfer(self, endpoint: socket.socket) -> None:
         with endpoint:
             try:
-                async with asyncio.timeout(ANSWER_TIME):
-                    await self._receive(endpoint)
-            except (OSError, TimeoutError, msgspec.DecodeError, NoRoomError) as error:
+                async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
+                    await self._receive_transfer(endpoint)
+            except (OSError, TimeoutError, msgspec.DecodeError, NoCapacityError) as error:
                 log.warning("handover: a connection was not taken: %s", error or "no whole message in time")
             except Exception:  # it stays with the older process, which has not heard "held"
                 log.exception("handover: a connection was not taken")
 
-    async def _receive(self, endpoint: socket.socket) -> None:
-        with contextlib.ExitStack() as undo:
-            text, sockets = await self._message(endpoint, undo)
-            message = _decoder.decode(text)
-            if len(sockets) != (1 if isinstance(message, PassedClient) else MOST_DESCRIPTORS):
+    async def _receive_transfer(self, endpoint: socket.socket) -> None:
+        with contextlib.ExitStack() as cleanup:
+            payload, sockets = await self._receive_message(endpoint, cleanup)
+            message = _decoder.decode(payload)
+            if len(sockets) != (1 if isinstance(message, ClientTransfer) else MAX_DESCRIPTORS):
                 raise OSError("another number of sockets")
-            adopted = self._set_up(message, sockets)
-            undo.pop_all()  # they are the transports' now
+            adopted = self._adopt_connection(message, sockets)
+            cleanup.pop_all()  # they are the transports' now
         try:
-            endpoint.send(HELD)
+            endpoint.send(HELD_REPLY)
         except OSError:  # the older process waits no longer, and goes on with it
             adopted.abandon()
             raise
-        adopted.begin()
+        adopted.activate()
 
-    def _set_up(self, message: PassedMessage, sockets: list[socket.socket]) -> AdoptedConnection:
-        if not isinstance(message, PassedAnswer):
+    def _adopt_connection(self, message: TransferMessage, sockets: list[socket.socket]) -> AdoptedConnection:
+        if not isinstance(message, AnswerTransfer):
             if self._adopt is None:
-                raise NoRoomError("only answers are taken here")
+                raise NoCapacityError("only answers are taken here")
             return self._adopt(message, sockets)
-        if len(self.answers) >= MOST_PASSED:
-            raise NoRoomError("no place for another answer")
+        if len(self.answers) >= MAX_RELAYED_ANSWERS:
+            raise NoCapacityError("no place for another answer")
         answer = RelayedAnswer(
-            message.remainder, message.length, message.chunked, self._now, self.answers.discard
+            message.remainder, message.body_length, message.chunked, self._now, self.answers.discard
         )
         client, host = sockets
-        answer.connect(client, host, message.to_client)
+        answer.connect(client, host, message.client_output)
         self.answers.add(answer)
         return answer
 
-    async def _message(
-        self, endpoint: socket.socket, undo: contextlib.ExitStack
+    async def _receive_message(
+        self, endpoint: socket.socket, cleanup: contextlib.ExitStack
     ) -> tuple[bytes, list[socket.socket]]:
         """The text of a message and the sockets that came with it, which `undo` closes."""
-        data, descriptors = await self._packet(endpoint, MOST_DESCRIPTORS)
+        data, descriptors = await self._receive_packet(endpoint, MAX_DESCRIPTORS)
         sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
-        for one in sockets:
-            undo.callback(one.close)
-        if len(data) < _LENGTH.size:
+        for received_socket in sockets:
+            cleanup.callback(received_socket.close)
+        if len(data) < _LENGTH_PREFIX.size:
             raise OSError("it ended before its message")
-        (length,) = _LENGTH.unpack_from(data)
-        if length > MOST_MESSAGE:
+        (length,) = _LENGTH_PREFIX.unpack_from(data)
+        if length > MAX_MESSAGE_BYTES:
             raise OSError("the message is too large")
-        text = bytearray(data[_LENGTH.size :])
-        while len(text) < length:
-            more, _ = await self._packet(endpoint, 0)
-            if not more:
+        payload = bytearray(data[_LENGTH_PREFIX.size :])
+        while len(payload) < length:
+            packet, _ = await self._receive_packet(endpoint, 0)
+            if not packet:
                 raise OSError("it ended within its message")
-            text += more
-        return bytes(text), sockets
+            payload += packet
+        return bytes(payload), sockets
 
-    async def _packet(self, endpoint: socket.socket, descriptors: int) -> tuple[bytes, list[int]]:
+    async def _receive_packet(self, endpoint: socket.socket, descriptors: int) -> tuple[bytes, list[int]]:
         while True:
             try:
-                data, received, _, _ = socket.recv_fds(endpoint, PACKET, descriptors)
+                data, received, _, _ = socket.recv_fds(endpoint, PACKET_BYTES, descriptors)
                 return data, received
             except BlockingIOError:
-                await asyncio.sleep(LOOK_EVERY)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
-    async def until_done(self) -> None:
+    async def wait_until_done(self) -> None:
         """Wait for all answers that were taken."""
         while self.answers:
             await asyncio.sleep(0.01)
--- a/whinrouter/interface.py
+++ b/whinrouter/interface.py
@@ -109,23 +109,25 @@
     may_hedge: bool = False  # a second attempt may start while the first is out
     may_cancel: bool = False
     may_probe: bool = False
-    retry_after: bool = False  # clients are told how long to stay away
+    sends_retry_after: bool = False  # clients are told how long to stay away
     must_subscribe: bool = False  # discovery sends changes only when asked to
     load_in_answers: bool = False
     load_in_probes: bool = False
     warm_keys: bool = False  # a server that has lately met a key does less work for it
     cold_share: float = 1.0  # a server starts with at least this share of its capacity
     ramp_time: int = 0  # and is warm after this at the latest
-    fall_multiple: float = 4.0  # sent more than this multiple of its present capacity
-    fall_time: int = SECOND  # for this long, a cold server falls over
-    sized: bool = True  # weights tell how much servers can do, and not how busy they lately were
-    worst_class: float = 0.0  # what the worst-served class counts, as a multiple of what all together do
+    cold_overload_multiple: float = 4.0  # sent more than this multiple of its present capacity
+    cold_overload_window: int = SECOND  # for this long, a cold server falls over
+    weight_is_capacity: bool = True  # weights tell how much servers can do, and not how busy they lately were
+    worst_class_weight: float = (
+        0.0  # what the worst-served class counts, as a multiple of what all together do
+    )
     cross_zone_price: float = 0.0
     probe_price: float = 0.0
     allowances: Mapping[str, float] = field(
         default_factory=dict
     )  # of each tenant at this balancer, per second
-    over_share_worth: float = 1.0  # what a request beyond its tenant's allowance is worth, as a part
+    over_allowance_worth: float = 1.0  # what a request beyond its tenant's allowance is worth, as a part
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -135,7 +137,7 @@
                 raise ValueError(f"{key} must be at least 1")
         if not 0 < self.cold_share <= 1:
             raise ValueError("cold_share must be above 0 and at most 1")
-        for key in ("fall_multiple", "fall_time"):
+        for key in ("cold_overload_multiple", "cold_overload_window"):
             if getattr(self, key) <= 0:
                 raise ValueError(f"{key} must be above 0")
         if self.ramp_time < 0:
@@ -152,7 +154,7 @@
     kind: str = ""
     cell: int = 0
     weight: float = 1.0
-    started: int = 0  # moment of its latest start; 0: long ago
+    started_at: int = 0  # moment of its latest start; 0: long ago
 
 
 # Events
@@ -173,9 +175,9 @@
     timeout: int  # the client leaves after this
     cost: int = 0  # expected work, roughly; 0: not known
     key: str | None = None
-    retry: bool = False  # a client's own repeat, where clients mark them
+    is_retry: bool = False  # a client's own repeat, where clients mark them
     tenant: str = ""
-    streams: bool = False  # its body is sent on as it comes: one attempt at a time
+    streams_body: bool = False  # its body is sent on as it comes: one attempt at a time
 
 
 class StreamStarted(NamedTuple):
@@ -213,12 +215,12 @@
     server: ServerId
     outcome: Outcome
     latency: int
-    answered: bool  # the client has its final answer
+    client_answered: bool  # the client has its final answer
     load: dict[str, float] | None = None
-    waited: int = (
+    local_delay: int = (
         0  # time that was none of the server's: its answer lay here unread, the body was still to come
     )
-    spent: bool = False  # a part of the request can't be had again: no other attempt
+    body_consumed: bool = False  # a part of the request can't be had again: no other attempt
 
 
 class RequestGone(NamedTuple):
@@ -264,7 +266,7 @@
     server: ServerId
     expires: int = 0  # moment at which to give the attempt up; 0: when the client does
     # Moment from which on its first byte may not leave while another attempt may have run; 0: there is none.
-    begins_by: int = 0
+    write_before: int = 0
 
 
 class Cancel(NamedTuple):
@@ -314,13 +316,13 @@
     """One attempt of a request, as the balancer keeps it."""
 
     server: Server
-    sent: int
-    trial: bool = False  # the half-open trial of its server
-    class_trial: bool = False  # the half-open trial of its class there
-    judged: bool = False  # its server has had the verdict while it was out
-    streams: bool = False  # the client's own since its answer began
+    sent_at: int
+    is_trial: bool = False  # the half-open trial of its server
+    is_class_trial: bool = False  # the half-open trial of its class there
+    is_counted: bool = False  # its server has had the verdict while it was out
+    is_streaming: bool = False  # the client's own since its answer began
     outcome: Outcome | None = None  # None while it is out
-    mark: float = 0.0  # the multiple of the usual time after which it is late
+    late_multiple: float = 0.0  # the multiple of the usual time after which it is late
     awaits_body: bool = False  # its server has not the whole request yet, and so no work from it
 
     @property
@@ -329,26 +331,26 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingRequest:
     """A request the balancer still owes an answer, or whose attempts are still out."""
 
     request: Request
-    kind: RequestClass
-    arrived: int
+    request_class: RequestClass
+    arrived_at: int
     deadline: int
-    most: int  # attempts that it may have, as it was taken
-    spent: bool = False  # a part of it can't be had again
+    max_attempts: int  # attempts that it may have, as it was taken
+    body_consumed: bool = False  # a part of it can't be had again
     fallback: ServerId | None = None
     attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False
-    body_to_come: bool = False  # its body is sent on as it comes, and has not come whole
+    is_answered: bool = False
+    body_incomplete: bool = False  # its body is sent on as it comes, and has not come whole
 
     @property
-    def out(self) -> list[int]:
+    def running_attempts(self) -> list[int]:
         """The numbers of the attempts that are out."""
         return [number for number, attempt in enumerate(self.attempts) if attempt.outcome is None]
 
     @property
-    def first_unsure(self) -> Attempt | None:
+    def first_possibly_run(self) -> Attempt | None:
         """The first attempt that may have run."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
--- a/whinrouter/invariants/events.py
+++ b/whinrouter/invariants/events.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 CAPACITY = 2048  # events, some 200 bytes each; a busy process fills it within a second
-PROCESS = 0  # in place of a request's number, for what happens to the process
+NO_REQUEST = 0  # in place of a request's number, for what happens to the process
 
 
 class EventKind(Enum):
@@ -51,12 +51,12 @@
     """The latest `capacity` events."""
 
     def __init__(self, capacity: int = CAPACITY) -> None:
-        self._kept: deque[tuple[int, EventKind, int, int, str]] = deque(maxlen=capacity)
+        self._events: deque[tuple[int, EventKind, int, int, str]] = deque(maxlen=capacity)
 
     def record(self, moment: int, kind: EventKind, request: int, attempt: int, detail: str) -> None:
         """Keep one event, in the place of the oldest."""
-        self._kept.append((moment, kind, request, attempt, detail))
+        self._events.append((moment, kind, request, attempt, detail))
 
     def events(self, request: int | None = None) -> list[Event]:
         """What is kept, the oldest first; of one request if it is named."""
-        return [Event(*kept) for kept in self._kept if request is None or kept[2] == request]
+        return [Event(*event) for event in self._events if request is None or event[2] == request]
--- a/whinrouter/invariants/lifecycle.py
+++ b/whinrouter/invariants/lifecycle.py
@@ -19,7 +19,7 @@
 from enum import Enum
 
 from whinrouter.interface import MS, Effect, Outcome, RequestClass, Scope, Server, Settings
-from whinrouter.invariants.events import PROCESS, EventKind, EventRing
+from whinrouter.invariants.events import NO_REQUEST, EventKind, EventRing
 from whinrouter.invariants.violations import Invariant, Violations
 
 DEADLINE_SLACK = 150 * MS  # by which what a host is told may pass what the client has left
@@ -69,16 +69,16 @@
 )
 
 
-class RequestLife:
+class RequestLifecycle:
     """What was done for one request so far."""
 
-    def __init__(self, request: int, kind: RequestClass | None, deadline: int) -> None:
+    def __init__(self, request: int, request_class: RequestClass | None, deadline: int) -> None:
         self.request = request
         self.state = RequestState.ADMITTED
         self.deadline = deadline  # of its client, less what its way takes
-        self.kind = kind  # None: a class never announced, which may not run twice
-        self.sent = 0  # attempts whose first byte has left
-        self.never_ran = 0  # how many of these have ended so that nothing ran
+        self.request_class = request_class  # None: a class never announced, which may not run twice
+        self.attempts_sent = 0  # attempts whose first byte has left
+        self.attempts_not_run = 0  # how many of these have ended so that nothing ran
         self.first_sent = 0  # moment of the first attempt that may have run, and where it went
         self.first_server: Server | None = None
         self.last_outcome = ""
@@ -86,7 +86,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any attempt has, or yet may."""
-        return self.sent > self.never_ran
+        return self.attempts_sent > self.attempts_not_run
 
 
 class Guards:
@@ -100,29 +100,29 @@
 
     def retune(self, settings: Settings) -> None:
         """Requests that are under way keep their class."""
-        self._classes = {kind.name: kind for kind in settings.classes}
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
 
-    def start(self, request: int, class_name: str, deadline: int, now: int, name: str) -> RequestLife:
+    def admit(self, request: int, class_name: str, deadline: int, now: int, name: str) -> RequestLifecycle:
         """A request is taken on: an answer is owed from now on."""
         self.ring.record(now, EventKind.ADMITTED, request, 0, name)
-        return RequestLife(request, self._classes.get(class_name), deadline)
+        return RequestLifecycle(request, self._classes.get(class_name), deadline)
 
     def adopt(
         self, request: int, class_name: str, deadline: int, server: Server, now: int, name: str
-    ) -> RequestLife:
+    ) -> RequestLifecycle:
         """Another process's request goes on here, with its one attempt out at this server."""
-        life = self.start(request, class_name, deadline, now, name)
-        life.state, life.sent = RequestState.SENT, 1
+        life = self.admit(request, class_name, deadline, now, name)
+        life.state, life.attempts_sent = RequestState.SENT, 1
         life.first_sent, life.first_server = now, server
         self.ring.record(now, EventKind.TAKEN_OVER, request, 0, "its attempt is out")
         return life
 
-    def pass_on(self, life: RequestLife, now: int) -> None:
+    def hand_over(self, life: RequestLifecycle, now: int) -> None:
         """Another process goes on with it, and owes its answer."""
         life.state = RequestState.GONE
         self.ring.record(now, EventKind.GONE, life.request, 0, "another process goes on with it")
 
-    def wait(self, life: RequestLife, attempt: int, now: int) -> None:
+    def attempt_waiting(self, life: RequestLifecycle, attempt: int, now: int) -> None:
         """An attempt waits for a connection."""
         if life.state in FINAL_STATES:
             self._violated(Invariant.STATE_ORDER, life, now, f"an attempt waits though {life.state.value}")
@@ -131,7 +131,7 @@
         self.ring.record(now, EventKind.WAITING, life.request, attempt, "for a connection")
 
     def may_send(
-        self, life: RequestLife, attempt: int, server: Server, ready: bool, told: int, now: int
+        self, life: RequestLifecycle, attempt: int, server: Server, is_ready: bool, timeout: int, now: int
     ) -> bool:
         """Whether the first byte of an attempt may leave now; `told`: the microseconds that its host hears.
 
@@ -140,47 +140,51 @@
         if life.state in FINAL_STATES or now > life.deadline:
             why = life.state.value if life.state in FINAL_STATES else "its time is up"
             return self._violated(Invariant.SENT_WHILE_OWED, life, now, f"attempt {attempt}, though {why}")
-        if not ready:
+        if not is_ready:
             return self._violated(Invariant.SENT_TO_READY_HOST, life, now, f"attempt {attempt}")
-        if told > life.deadline - now + DEADLINE_SLACK:
+        if timeout > life.deadline - now + DEADLINE_SLACK:
             return self._violated(
-                Invariant.DEADLINE_TOLD, life, now, f"{told} told, {life.deadline - now} left"
+                Invariant.DEADLINE_TOLD, life, now, f"{timeout} told, {life.deadline - now} left"
             )
         if life.may_have_run and not self._may_repeat(life, server, now):
             return self._violated(Invariant.REPEATED_ONLY_SAFELY, life, now, f"attempt {attempt}")
         self._count_sent(life, attempt, server, now)
         return True
 
-    def _count_sent(self, life: RequestLife, attempt: int, server: Server, now: int) -> None:
-        why = "first"
-        if life.sent:
-            why = f"retry after {life.last_outcome}" if life.last_outcome else "hedge"
+    def _count_sent(self, life: RequestLifecycle, attempt: int, server: Server, now: int) -> None:
+        reason = "first"
+        if life.attempts_sent:
+            reason = f"retry after {life.last_outcome}" if life.last_outcome else "hedge"
         if not life.may_have_run:
             life.first_sent, life.first_server = now, server
-        life.sent += 1
+        life.attempts_sent += 1
         life.last_outcome = ""
         life.state = RequestState.SENT
-        self.ring.record(now, EventKind.SENT, life.request, attempt, why)
+        self.ring.record(now, EventKind.SENT, life.request, attempt, reason)
 
-    def _may_repeat(self, life: RequestLife, server: Server, now: int) -> bool:
-        kind, first = life.kind, life.first_server
-        if kind is None or first is None or kind.effect is Effect.AT_MOST_ONCE:
+    def _may_repeat(self, life: RequestLifecycle, server: Server, now: int) -> bool:
+        request_class, first = life.request_class, life.first_server
+        if request_class is None or first is None or request_class.effect is Effect.AT_MOST_ONCE:
             return False
-        if kind.effect is Effect.IDEMPOTENT:
+        if request_class.effect is Effect.IDEMPOTENT:
             return True
-        remembered = now < life.first_sent + kind.dedup_window
-        if kind.scope is Scope.ALL:
-            return remembered
-        same = server.zone == first.zone if kind.scope is Scope.ZONE else server.cell == first.cell
-        return remembered and same
-
-    def attempt_ended(self, life: RequestLife, attempt: int, begun: bool, outcome: Outcome, now: int) -> None:
+        is_remembered = now < life.first_sent + request_class.dedup_window
+        if request_class.scope is Scope.ALL:
+            return is_remembered
+        is_same_group = (
+            server.zone == first.zone if request_class.scope is Scope.ZONE else server.cell == first.cell
+        )
+        return is_remembered and is_same_group
+
+    def attempt_ended(
+        self, life: RequestLifecycle, attempt: int, has_begun: bool, outcome: Outcome, now: int
+    ) -> None:
         """An attempt is over; `begun`: `may_send` has let it begin."""
-        life.never_ran += begun and outcome.never_ran
+        life.attempts_not_run += has_begun and outcome.never_ran
         life.last_outcome = outcome.value
         self.ring.record(now, EventKind.ENDED, life.request, attempt, outcome.value)
 
-    def may_answer(self, life: RequestLife, status: int, served: bool, why: str, now: int) -> int:
+    def may_answer(self, life: RequestLifecycle, status: int, is_served: bool, why: str, now: int) -> int:
         """The status that a final answer may have; 0: there may be none any more.
 
         `served`: it is what a host answered to an attempt of this request.
@@ -188,7 +192,7 @@
         if life.state in FINAL_STATES:
             self._violated(Invariant.ANSWERED_ONCE, life, now, f"{status}, though {life.state.value}")
             return 0
-        if status == 200 and not served:
+        if status == 200 and not is_served:
             self._violated(Invariant.ANSWER_OF_ITS_OWN, life, now, why)
             status = 502
         if status in REFUSALS and not self._may_refuse(life):
@@ -200,39 +204,39 @@
         self.ring.record(now, EventKind.ANSWERED, life.request, 0, why)
         return status
 
-    def _may_refuse(self, life: RequestLife) -> bool:
-        kind = life.kind
+    def _may_refuse(self, life: RequestLifecycle) -> bool:
+        request_class = life.request_class
         if not life.may_have_run:
             return True
-        if kind is None or kind.effect is Effect.AT_MOST_ONCE:
+        if request_class is None or request_class.effect is Effect.AT_MOST_ONCE:
             return False
-        return kind.effect is Effect.IDEMPOTENT or kind.scope is Scope.ALL
+        return request_class.effect is Effect.IDEMPOTENT or request_class.scope is Scope.ALL
 
-    def leave(self, life: RequestLife, now: int) -> None:
+    def client_left(self, life: RequestLifecycle, now: int) -> None:
         """The client has left: nothing is owed."""
         if life.state is not RequestState.ANSWERED:
             life.state = RequestState.GONE
         self.ring.record(now, EventKind.GONE, life.request, 0, "its client left")
 
-    def close(self, request: int, owed: bool, reason: CloseReason, now: int) -> None:
+    def connection_closed(self, request: int, is_owed: bool, reason: CloseReason, now: int) -> None:
         """A client's connection is closed.
 
         `request`: the one in work there, or `PROCESS`; `owed`: whether it, or one that waits behind it, has
         no final answer yet.
         """
         self.ring.record(now, EventKind.CLOSED, request, 0, reason.value)
-        if owed and reason not in FREES_REQUEST:
+        if is_owed and reason not in FREES_REQUEST:
             self.violations.add(Invariant.CLOSED_WHEN_FREE, now, request, reason.value)
 
-    def happened(self, kind: EventKind, detail: str, now: int) -> None:
+    def process_event(self, kind: EventKind, detail: str, now: int) -> None:
         """Something befell the process."""
-        self.ring.record(now, kind, PROCESS, 0, detail)
+        self.ring.record(now, kind, NO_REQUEST, 0, detail)
 
-    def exit(self, held: int, now: int) -> None:
+    def process_exiting(self, unanswered: int, now: int) -> None:
         """The process ends while so many requests are owed an answer."""
-        if held:
-            self.violations.add(Invariant.ANSWERED_AT_EXIT, now, PROCESS, f"{held} held")
+        if unanswered:
+            self.violations.add(Invariant.ANSWERED_AT_EXIT, now, NO_REQUEST, f"{unanswered} held")
 
-    def _violated(self, invariant: Invariant, life: RequestLife, now: int, detail: str) -> bool:
+    def _violated(self, invariant: Invariant, life: RequestLifecycle, now: int, detail: str) -> bool:
         self.violations.add(invariant, now, life.request, detail)
         return False
--- a/whinrouter/learned_state.py
+++ b/whinrouter/learned_state.py
@@ -28,32 +28,32 @@
     """A breaker: its failures' ages, the time to its half-opening (None: it is closed), its next cooldown."""
 
     failures: tuple[int, ...]
-    reopens_in: int | None
+    half_open_in: int | None
     cooldown: int
 
 
-class HostLearnt(NamedTuple):
+class LearnedServerState(NamedTuple):
     """What was learnt of a server since its start."""
 
-    server: ServerId
+    server_id: ServerId
     age: int | None  # since its start
     limit: float
-    pace: float
-    paced: int | None  # the age of that
-    tokens: float  # of its slow start
+    latency_ratio: float
+    latency_ratio_age: int | None  # the age of that
+    slow_start_tokens: float  # of its slow start
     breaker: BreakerState
-    classes: dict[str, BreakerState]
+    class_breakers: dict[str, BreakerState]
 
 
-class Learnt(NamedTuple):
+class LearnedState(NamedTuple):
     """All that is worth more than a fresh start."""
 
-    hosts: tuple[HostLearnt, ...]
-    usual: dict[str, float]
-    typical: dict[str, float]
-    marks: dict[str, float]
-    patience: dict[str, int]
-    served: dict[str, float]
-    counted: int | None  # the age of what was served
-    share: float
-    signed: int | None  # the age of the latest sign of load
+    servers: tuple[LearnedServerState, ...]
+    unit_latencies: dict[str, float]
+    median_latencies: dict[str, float]
+    late_multiples: dict[str, float]
+    longest_timeouts: dict[str, int]
+    work_done: dict[str, float]
+    work_age: int | None  # the age of what was served
+    admitted_share: float
+    admitted_share_age: int | None  # the age of the latest sign of load
--- a/whinrouter/membership/json_stream.py
+++ b/whinrouter/membership/json_stream.py
@@ -20,7 +20,7 @@
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class Texts:
+class DocumentSplitter:
     """Takes bytes and gives out texts that are whole; at most `most` bytes wait here."""
 
     def __init__(self, most: int) -> None:
--- a/whinrouter/membership/retry_policy.py
+++ b/whinrouter/membership/retry_policy.py
@@ -39,64 +39,78 @@
 from dataclasses import dataclass
 from random import Random
 
-BEAT = 2.0  # seconds between two lines of a watch on which nothing changes
-TOLD = 6.0  # seconds after which what a silent watch misses counts as told
-STARTS = 1.5  # seconds within which a process makes its first call: a restart took 3 s of `TOLD` already
-ONCE_MORE = 0.3  # seconds within which a call that was broken off is made once more: it may have 2 s to wait
-JITTER = 0.5  # a pause after what failed at once is at least this part of what it may be
-SPREAD = 0.05  # and one of those who were turned away, whose point is to be spread
-SLOWEST_ROUND = 8.0  # seconds in which the slowest service takes one call from every gateway, at any scale
-DROPPED_SPREAD = 2 * SLOWEST_ROUND  # seconds within which all that were dropped come back
-IN_LINE = 0.5  # seconds: a call that took longer and had no answer, or a refusal, has stood in a line
+HEARTBEAT_SECONDS = 2.0  # seconds between two lines of a watch on which nothing changes
+NOTIFICATION_DEADLINE_SECONDS = 6.0  # seconds after which what a silent watch misses counts as told
+START_SPREAD_SECONDS = (
+    1.5  # seconds within which a process makes its first call: a restart took 3 s of `TOLD` already
+)
+SINGLE_RETRY_SECONDS = (
+    0.3  # seconds within which a call that was broken off is made once more: it may have 2 s to wait
+)
+MIN_JITTER = 0.5  # a pause after what failed at once is at least this part of what it may be
+MIN_QUEUE_JITTER = 0.05  # and one of those who were turned away, whose point is to be spread
+SLOWEST_ROUND_SECONDS = (
+    8.0  # seconds in which the slowest service takes one call from every gateway, at any scale
+)
+DROPPED_SPREAD_SECONDS = 2 * SLOWEST_ROUND_SECONDS  # seconds within which all that were dropped come back
+QUEUED_SECONDS = 0.5  # seconds: a call that took longer and had no answer, or a refusal, has stood in a line
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class RetryPolicy:
     """The times of one kind of service; all in seconds."""
 
-    silence: tuple[float, float]  # from a byte to the next, drawn for each watch
-    connect: float  # for a connection to come up
-    first: float  # and from then to the first whole line
-    least_pause: float  # after a watch that had a line; doubled after each try that comes to nothing
-    most_pause: float
-    turned_away: float = 0.0  # within which all that were turned away come back; 0: there is no line
-    start: float = 0.0  # within which processes that start with a list of old first ask
+    silence_timeout: tuple[float, float]  # from a byte to the next, drawn for each watch
+    connect_timeout: float  # for a connection to come up
+    first_line_timeout: float  # and from then to the first whole line
+    min_backoff: float  # after a watch that had a line; doubled after each try that comes to nothing
+    max_backoff: float
+    queue_full_spread: float = 0.0  # within which all that were turned away come back; 0: there is no line
+    start_spread: float = 0.0  # within which processes that start with a list of old first ask
 
-    def drawn_silence(self, random: Random) -> float:
+    def draw_silence_timeout(self, random: Random) -> float:
         """How long one watch may say nothing, from its first line on."""
-        return random.uniform(*self.silence)
+        return random.uniform(*self.silence_timeout)
 
-    def first_pause(self, random: Random) -> float:
+    def start_delay(self, random: Random) -> float:
         """How long a process waits that has a list of old."""
-        return random.uniform(0.0, self.start)
+        return random.uniform(0.0, self.start_spread)
 
-    def pause(self, failed: int, full: bool, random: Random, broke: bool = False) -> float:
+    def backoff(self, failed: int, full: bool, random: Random, broke: bool = False) -> float:
         """How long to wait before the next try, after so many in a row that brought no line.
 
         `full`: the last one stood in a line to no end. `broke`: its answer had begun, and broke off.
         """
         doubled: float = 2.0 ** min(failed, 16)
-        if full and self.turned_away:
-            return min(self.most_pause, self.turned_away * doubled / 2) * random.uniform(SPREAD, 1)
+        if full and self.queue_full_spread:
+            return min(self.max_backoff, self.queue_full_spread * doubled / 2) * random.uniform(
+                MIN_QUEUE_JITTER, 1
+            )
         if failed == 1 or (failed and broke):
-            return min(self.most_pause, ONCE_MORE * doubled / 2) * random.uniform(JITTER, 1)
-        return min(self.most_pause, self.least_pause * doubled) * random.uniform(JITTER, 1)
+            return min(self.max_backoff, SINGLE_RETRY_SECONDS * doubled / 2) * random.uniform(MIN_JITTER, 1)
+        return min(self.max_backoff, self.min_backoff * doubled) * random.uniform(MIN_JITTER, 1)
 
 
 # A beat missed, and half of one for a loop that runs late. A false alarm costs one call that is free.
-PUSHED = Patience((1.5 * BEAT, 1.5 * BEAT), connect=0.5, first=1.0, least_pause=0.1, most_pause=0.2)
+LOCAL_AGENT_POLICY = RetryPolicy(
+    (1.5 * HEARTBEAT_SECONDS, 1.5 * HEARTBEAT_SECONDS),
+    connect_timeout=0.5,
+    first_line_timeout=1.0,
+    min_backoff=0.1,
+    max_backoff=0.2,
+)
 
 
-def asked(gateways: int, ask_every: float) -> Patience:
+def shared_service_policy(gateways: int, ask_every: float) -> RetryPolicy:
     """Of one service for so many gateways, each of which asks every so many seconds while it has no watch."""
-    return Patience(
+    return RetryPolicy(
         # A beat missed, and up to half of one more that spreads those whose watches fell silent together.
-        silence=(1.6 * BEAT, 2.1 * BEAT),
-        connect=0.5,
-        first=2.5,  # a call that waited for 2 s is dropped
-        least_pause=max(0.1, min(1.0, gateways / 40)),
+        silence_timeout=(1.6 * HEARTBEAT_SECONDS, 2.1 * HEARTBEAT_SECONDS),
+        connect_timeout=0.5,
+        first_line_timeout=2.5,  # a call that waited for 2 s is dropped
+        min_backoff=max(0.1, min(1.0, gateways / 40)),
         # 1.25 calls a second of all together, and no less often than needed with half of the time to spare.
-        most_pause=max(2.0, min(gateways / 1.25, 2 * ask_every)),
-        turned_away=min(DROPPED_SPREAD, gateways / 2.5),
-        start=min(STARTS, gateways / 25),
+        max_backoff=max(2.0, min(gateways / 1.25, 2 * ask_every)),
+        queue_full_spread=min(DROPPED_SPREAD_SECONDS, gateways / 2.5),
+        start_spread=min(START_SPREAD_SECONDS, gateways / 25),
     )
--- a/whinrouter/membership/start_times.py
+++ b/whinrouter/membership/start_times.py
@@ -29,12 +29,12 @@
 class StartAge(NamedTuple):
     """A start as another process goes on from it."""
 
-    told: int  # Unix time in microseconds, as the lists have it
+    reported: int  # Unix time in microseconds, as the lists have it
     age: int  # microseconds since then
 
 
 class _Start(NamedTuple):
-    told: int
+    reported: int
     moment: int
 
 
@@ -48,20 +48,20 @@
     def localise(self, servers: Iterable[Server], now: int) -> tuple[Server, ...]:
         """The servers of a list with `started` as a moment of our clock; 0, long ago, stays 0."""
         listed = tuple(servers)
-        newest = max((server.started for server in listed), default=0)
+        newest = max((server.started_at for server in listed), default=0)
         is_first_list = not self._had_list
         self._had_list = self._had_list or bool(listed)
         for server in listed:
             known = self._starts.get(server.id)
-            if server.started and (known is None or known.told != server.started):
-                age = newest - server.started if is_first_list else 0
-                self._starts[server.id] = _Start(server.started, max(1, now - age))
+            if server.started_at and (known is None or known.reported != server.started_at):
+                age = newest - server.started_at if is_first_list else 0
+                self._starts[server.id] = _Start(server.started_at, max(1, now - age))
         return tuple(
-            replace(server, started=self._starts[server.id].moment) if server.started else server
+            replace(server, started_at=self._starts[server.id].moment) if server.started_at else server
             for server in listed
         )
 
-    def limit(self, listed: Collection[ServerId]) -> None:
+    def trim(self, listed: Collection[ServerId]) -> None:
         """Forget those that left first, once there are more than `SPARE_ENTRIES` beside the listed ones."""
         surplus = len(self._starts) - len(listed) - SPARE_ENTRIES
         if surplus <= 0:
@@ -72,10 +72,13 @@
     def ages(self, now: int) -> dict[ServerId, StartAge]:
         """What a process that takes over goes on from."""
         return {
-            server_id: StartAge(start.told, now - start.moment) for server_id, start in self._starts.items()
+            server_id: StartAge(start.reported, now - start.moment)
+            for server_id, start in self._starts.items()
         }
 
     def adopt(self, ages: Mapping[ServerId, StartAge], now: int) -> None:
         """Go on from what another process of this gateway knows."""
-        self._starts = {server_id: _Start(known.told, now - known.age) for server_id, known in ages.items()}
+        self._starts = {
+            server_id: _Start(known.reported, now - known.age) for server_id, known in ages.items()
+        }
         self._had_list = bool(ages)
--- a/whinrouter/membership/zookeeper/jute.py
+++ b/whinrouter/membership/zookeeper/jute.py
@@ -10,8 +10,10 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-MOST_FRAME = 1024 * 1024 + 64 * 1024  # jute.maxbuffer's default is 1 MiB of data; the rest is names and stat
-MOST_LISTED = 100_000  # entries of one vector: ten times the children that a node should have
+MAX_FRAME_BYTES = (
+    1024 * 1024 + 64 * 1024
+)  # jute.maxbuffer's default is 1 MiB of data; the rest is names and stat
+MAX_VECTOR_LENGTH = 100_000  # entries of one vector: ten times the children that a node should have
 
 T = TypeVar("T")
 
@@ -36,7 +38,7 @@
         self._parts.append(_LONG.pack(value))
         return self
 
-    def flag(self, value: bool) -> Writer:
+    def boolean(self, value: bool) -> Writer:
         self._parts.append(b"\1" if value else b"\0")
         return self
 
@@ -45,20 +47,20 @@
         self._parts.append(value or b"")
         return self
 
-    def text(self, value: str) -> Writer:
+    def string(self, value: str) -> Writer:
         return self.buffer(value.encode())
 
-    def texts(self, values: list[str]) -> Writer:
+    def strings(self, values: list[str]) -> Writer:
         self.i32(len(values))
         for value in values:
-            self.text(value)
+            self.string(value)
         return self
 
     def raw(self, value: bytes) -> Writer:
         self._parts.append(value)
         return self
 
-    def done(self) -> bytes:
+    def to_bytes(self) -> bytes:
         return b"".join(self._parts)
 
 
@@ -67,20 +69,20 @@
 
     def __init__(self, data: bytes) -> None:
         self._data = data
-        self._at = 0
+        self._position = 0
 
     def _take(self, count: int) -> bytes:
-        end = self._at + count
+        end = self._position + count
         if count < 0 or end > len(self._data):
             raise JuteError("the record ends too soon")
-        taken = self._data[self._at : end]
-        self._at = end
-        return taken
+        value = self._data[self._position : end]
+        self._position = end
+        return value
 
     @property
-    def left(self) -> int:
+    def remaining(self) -> int:
         """Bytes that were not read yet."""
-        return len(self._data) - self._at
+        return len(self._data) - self._position
 
     def i32(self) -> int:
         return int(_INT.unpack(self._take(4))[0])
@@ -88,7 +90,7 @@
     def i64(self) -> int:
         return int(_LONG.unpack(self._take(8))[0])
 
-    def flag(self) -> bool:
+    def boolean(self) -> bool:
         return self._take(1) != b"\0"
 
     def buffer(self) -> bytes | None:
@@ -97,46 +99,46 @@
             raise JuteError("a length is below -1")
         return None if length == -1 else self._take(length)
 
-    def text(self) -> str:
+    def string(self) -> str:
         try:
             return (self.buffer() or b"").decode()
         except UnicodeDecodeError:
-            raise JuteError("a text is not UTF-8") from None
+            raise JuteError("a string is not UTF-8") from None
 
-    def many(self, one: Callable[[], T]) -> list[T]:
+    def vector(self, read_entry: Callable[[], T]) -> list[T]:
         """A vector of what `one` reads."""
         count = self.i32()
         # Each entry takes four bytes at least, so that a count that cannot be is known before any is read.
-        if count > MOST_LISTED or 4 * count > self.left:
+        if count > MAX_VECTOR_LENGTH or 4 * count > self.remaining:
             raise JuteError("a vector is longer than its record")
-        return [one() for _ in range(max(0, count))]
+        return [read_entry() for _ in range(max(0, count))]
 
-    def texts(self) -> list[str]:
-        return self.many(self.text)
+    def strings(self) -> list[str]:
+        return self.vector(self.string)
 
 
-class Frames:
+class FrameDecoder:
     """Cuts what comes into frames; what is held is one frame at most."""
 
-    def __init__(self, most: int = MOST_FRAME) -> None:
-        self._most = most
-        self._held = bytearray()
+    def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
+        self._max_bytes = max_bytes
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
         """The frames that are now whole; JuteError at a length that no frame has. Nothing may follow that."""
-        self._held += data
+        self._buffer += data
         frames = []
-        while len(self._held) >= _INT.size:
-            length = int(_INT.unpack_from(self._held)[0])
-            if not 0 <= length <= self._most:
+        while len(self._buffer) >= _INT.size:
+            length = int(_INT.unpack_from(self._buffer)[0])
+            if not 0 <= length <= self._max_bytes:
                 raise JuteError(f"a frame of {length} bytes is announced")
-            if len(self._held) < _INT.size + length:
+            if len(self._buffer) < _INT.size + length:
                 break
-            frames.append(bytes(self._held[_INT.size : _INT.size + length]))
-            del self._held[: _INT.size + length]
+            frames.append(bytes(self._buffer[_INT.size : _INT.size + length]))
+            del self._buffer[: _INT.size + length]
         return frames
 
 
-def frame(record: bytes) -> bytes:
+def encode_frame(record: bytes) -> bytes:
     """A record as it is sent."""
     return _INT.pack(len(record)) + record
--- a/whinrouter/membership/zookeeper/records.py
+++ b/whinrouter/membership/zookeeper/records.py
@@ -10,7 +10,7 @@
 WATCH_XID, PING_XID, AUTH_XID, SET_WATCHES_XID = -1, -2, -4, -8
 
 
-class Op(IntEnum):
+class OpCode(IntEnum):
     """What a request asks for."""
 
     CREATE = 1
@@ -33,7 +33,7 @@
     CLOSE = -11
 
 
-class Code(IntEnum):
+class ErrorCode(IntEnum):
     """How a request ended."""
 
     OK = 0
@@ -50,7 +50,7 @@
     NOT_READ_ONLY = -119
 
 
-class Happened(IntEnum):
+class EventType(IntEnum):
     """What a watch tells."""
 
     CREATED = 1
@@ -59,7 +59,7 @@
     CHILDREN_CHANGED = 4
 
 
-class Create(IntEnum):
+class CreateMode(IntEnum):
     """How a node is made; these add up."""
 
     PERSISTENT = 0
@@ -98,7 +98,7 @@
 _LONGS = frozenset((0, 1, 2, 3, 7, 10))
 
 
-class Connect(NamedTuple):
+class ConnectRequest(NamedTuple):
     """A client's first record."""
 
     zxid: int  # the newest that it has seen
@@ -109,17 +109,17 @@
 
     def write(self) -> bytes:
         record = Writer().i32(0).i64(self.zxid).i32(self.timeout).i64(self.session).buffer(self.password)
-        return record.flag(self.read_only).done()
+        return record.boolean(self.read_only).to_bytes()
 
     @classmethod
-    def read(cls, data: bytes) -> Connect:
+    def read(cls, data: bytes) -> ConnectRequest:
         reader = Reader(data)
         reader.i32()
-        told = reader.i64(), reader.i32(), reader.i64(), reader.buffer() or b""
-        return cls(*told, reader.flag() if reader.left else False)  # clients before 3.4 do not say
+        values = reader.i64(), reader.i32(), reader.i64(), reader.buffer() or b""
+        return cls(*values, reader.boolean() if reader.remaining else False)  # clients before 3.4 do not say
 
 
-class Connected(NamedTuple):
+class ConnectResponse(NamedTuple):
     """A coordinator's first record; a time-out of 0 says that the session is gone."""
 
     timeout: int
@@ -129,17 +129,17 @@
 
     def write(self) -> bytes:
         record = Writer().i32(0).i32(self.timeout).i64(self.session).buffer(self.password)
-        return record.flag(self.read_only).done()
+        return record.boolean(self.read_only).to_bytes()
 
     @classmethod
-    def read(cls, data: bytes) -> Connected:
+    def read(cls, data: bytes) -> ConnectResponse:
         reader = Reader(data)
         reader.i32()
-        told = reader.i32(), reader.i64(), reader.buffer() or b""
-        return cls(*told, reader.flag() if reader.left else False)
+        values = reader.i32(), reader.i64(), reader.buffer() or b""
+        return cls(*values, reader.boolean() if reader.remaining else False)
 
 
-class Reply(NamedTuple):
+class ReplyHeader(NamedTuple):
     """The head of all that a coordinator sends after its first record."""
 
     xid: int
@@ -150,20 +150,22 @@
         return Writer().i32(self.xid).i64(self.zxid).i32(self.code)
 
     @classmethod
-    def read(cls, reader: Reader) -> Reply:
+    def read(cls, reader: Reader) -> ReplyHeader:
         return cls(reader.i32(), reader.i64(), reader.i32())
 
 
-class Event(NamedTuple):
+class WatcherEvent(NamedTuple):
     """A watch that fired."""
 
     kind: int
     path: str
 
     def write(self) -> bytes:
-        return Reply(WATCH_XID, -1, 0).write().i32(self.kind).i32(CONNECTED).text(self.path).done()
+        return (
+            ReplyHeader(WATCH_XID, -1, 0).write().i32(self.kind).i32(CONNECTED).string(self.path).to_bytes()
+        )
 
     @classmethod
-    def read(cls, reader: Reader) -> Event:
+    def read(cls, reader: Reader) -> WatcherEvent:
         kind, _ = reader.i32(), reader.i32()
-        return cls(kind, reader.text())
+        return cls(kind, reader.string())
--- a/whinrouter/net/accept.py
+++ b/whinrouter/net/accept.py
@@ -26,9 +26,9 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_PAUSE, LONGEST_PAUSE = 0.001, 0.05  # seconds
+INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.001, 0.05  # seconds
 # What says something of one connection alone: a reset, or a network error that accept(2) tells to pass over.
-OF_ONE_CONNECTION = frozenset(
+CONNECTION_ERRNOS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -48,15 +48,18 @@
     """Gives each connection of a listening socket a protocol of its own, until it is stopped."""
 
     def __init__(
-        self, listener: socket.socket, protocol: Callable[[], asyncio.BaseProtocol], at_once: int
+        self,
+        listener: socket.socket,
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
+        max_accepts_per_turn: int,
     ) -> None:
         """`at_once`: connections that are accepted in one turn of the loop at most."""
         self._listener = listener
-        self._protocol = protocol
-        self._at_once = at_once
+        self._protocol_factory = protocol_factory
+        self._max_accepts_per_turn = max_accepts_per_turn
         self._loop = asyncio.get_running_loop()
-        self._pause = FIRST_PAUSE
-        self._resumes: asyncio.TimerHandle | None = None
+        self._backoff_seconds = INITIAL_BACKOFF_SECONDS
+        self._resume_timer: asyncio.TimerHandle | None = None
         listener.setblocking(False)
         self._loop.add_reader(listener, self._accept)
 
@@ -65,40 +68,40 @@
         self._suspend()
 
     def _suspend(self) -> None:
-        if self._resumes is not None:
-            self._resumes.cancel()
-            self._resumes = None
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
+            self._resume_timer = None
         if self._listener.fileno() >= 0:
             self._loop.remove_reader(self._listener)
 
     def _resume(self) -> None:
-        self._resumes = None
+        self._resume_timer = None
         self._loop.add_reader(self._listener, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(self._at_once):
+        for _ in range(self._max_accepts_per_turn):
             try:
                 connection, _ = self._listener.accept()
             except (BlockingIOError, InterruptedError):  # none waits, or another process was faster
                 return
             except OSError as error:
-                if error.errno in OF_ONE_CONNECTION:
+                if error.errno in CONNECTION_ERRNOS:
                     log.info("accept: %s; taking the next one", error.strerror)
                     continue
-                self._pause_after(error)
+                self._back_off(error)
                 return
-            self._pause = FIRST_PAUSE
-            self._set_up(connection)
+            self._backoff_seconds = INITIAL_BACKOFF_SECONDS
+            self._attach_transport(connection)
 
-    def _pause_after(self, error: OSError) -> None:
+    def _back_off(self, error: OSError) -> None:
         log.warning("accept: %s; trying again after a pause", error.strerror)
         self._suspend()
-        self._resumes = self._loop.call_later(self._pause, self._resume)
-        self._pause = min(2 * self._pause, LONGEST_PAUSE)
+        self._resume_timer = self._loop.call_later(self._backoff_seconds, self._resume)
+        self._backoff_seconds = min(2 * self._backoff_seconds, MAX_BACKOFF_SECONDS)
 
-    def _set_up(self, connection: socket.socket) -> None:
+    def _attach_transport(self, connection: socket.socket) -> None:
         try:
-            SocketTransport(connection, self._protocol())
+            SocketTransport(connection, self._protocol_factory())
         except OSError as error:
             log.warning("a connection that was accepted could not be set up: %s", error.strerror)
             connection.close()
--- a/whinrouter/net/application.py
+++ b/whinrouter/net/application.py
@@ -14,69 +14,69 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY = 0.2  # seconds between looks for an application that is gone
-MOST_DIGITS = 32  # bytes that are read of its file
+POLL_SECONDS = 0.2  # seconds between looks for an application that is gone
+MAX_PID_FILE_BYTES = 32  # bytes that are read of its file
 
 
-class Application:
+class ApplicationMonitor:
     """Calls `back` when the application is alive and `gone` when it is not; each only at a change."""
 
-    def __init__(self, pid_file: str, gone: Callable[[], None], back: Callable[[], None]) -> None:
+    def __init__(self, pid_file: str, on_exited: Callable[[], None], on_running: Callable[[], None]) -> None:
         self._pid_file = pid_file
-        self._gone, self._back = gone, back
+        self._on_exited, self._on_running = on_exited, on_running
         self._loop = asyncio.get_running_loop()
-        self._process = -1  # its descriptor
+        self._pidfd = -1  # its descriptor
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        self._look()
+        self._poll()
 
     def stop(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._let_go()
+        self._close_pidfd()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self._timer = None
-        process = _open(self._pid_file)
-        if process is None:
-            self._timer = self._loop.call_later(LOOK_EVERY, self._look)
+        pidfd = _open_pidfd(self._pid_file)
+        if pidfd is None:
+            self._timer = self._loop.call_later(POLL_SECONDS, self._poll)
             return
-        self._process = process
-        self._loop.add_reader(process, self._ended)
+        self._pidfd = pidfd
+        self._loop.add_reader(pidfd, self._on_process_ended)
         log.info("the application is here")
-        self._back()
+        self._on_running()
 
-    def _ended(self) -> None:
-        self._let_go()
+    def _on_process_ended(self) -> None:
+        self._close_pidfd()
         log.warning("the application is gone")
-        self._gone()
-        self._timer = self._loop.call_later(LOOK_EVERY, self._look)
+        self._on_exited()
+        self._timer = self._loop.call_later(POLL_SECONDS, self._poll)
 
-    def _let_go(self) -> None:
-        if self._process >= 0:
-            self._loop.remove_reader(self._process)
-            os.close(self._process)
-            self._process = -1
+    def _close_pidfd(self) -> None:
+        if self._pidfd >= 0:
+            self._loop.remove_reader(self._pidfd)
+            os.close(self._pidfd)
+            self._pidfd = -1
 
 
-def _open(pid_file: str) -> int | None:
+def _open_pidfd(pid_file: str) -> int | None:
     """A descriptor of the process that a file names; None if there is none."""
     try:
         with open(pid_file, "rb") as file:
-            pid = int(file.read(MOST_DIGITS))
-            written = os.fstat(file.fileno()).st_mtime
-        process = os.pidfd_open(pid)
+            pid = int(file.read(MAX_PID_FILE_BYTES))
+            written_at = os.fstat(file.fileno()).st_mtime
+        pidfd = os.pidfd_open(pid)
     except (OSError, ValueError, OverflowError):
         return None
     # It names itself once it runs: who began after the file was written only has the number of one who died.
-    if _ended(pid) or _began(pid) > written + 1.0:
-        os.close(process)
+    if _has_ended(pid) or _started_at(pid) > written_at + 1.0:
+        os.close(pidfd)
         return None
-    return process
+    return pidfd
 
 
-def _stat(pid: int) -> list[str]:
+def _stat_fields(pid: int) -> list[str]:
     """What the system tells of a process, from its state on (proc(5), /proc/pid/stat)."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
@@ -84,13 +84,13 @@
         return []
 
 
-def _ended(pid: int) -> bool:
+def _has_ended(pid: int) -> bool:
     """Whether it has ended and only waits to be asked for."""
-    return _stat(pid)[:1] in ([], ["Z"], ["X"])
+    return _stat_fields(pid)[:1] in ([], ["Z"], ["X"])
 
 
-def _began(pid: int) -> float:
+def _started_at(pid: int) -> float:
     """Unix time at which it began."""
-    told = _stat(pid)
-    booted = next(line for line in Path("/proc/stat").read_text().splitlines() if line.startswith("btime"))
-    return int(booted.split()[1]) + int(told[19]) / os.sysconf("SC_CLK_TCK") if told else 0.0
+    fields = _stat_fields(pid)
+    boot_time = next(line for line in Path("/proc/stat").read_text().splitlines() if line.startswith("btime"))
+    return int(boot_time.split()[1]) + int(fields[19]) / os.sysconf("SC_CLK_TCK") if fields else 0.0
--- a/whinrouter/net/attempt.py
+++ b/whinrouter/net/attempt.py
@@ -8,21 +8,21 @@
 
 from whinrouter.interface import Outcome, ServerId
 from whinrouter.net.hosts import Member
-from whinrouter.net.http import Message, write_request
+from whinrouter.net.http import Message, serialize_request
 from whinrouter.net.timer_wheel import Timer
 from whinrouter.streaming.flow import Flow
 
-Ended = Callable[["Attempt", Outcome, Message | None], None]
-Began = Callable[["Attempt", Message], None]
-MayBegin = Callable[["Attempt", bool, bool], Outcome | None]
+EndedCallback = Callable[["Attempt", Outcome, Message | None], None]
+StreamingCallback = Callable[["Attempt", Message], None]
+MayBeginCheck = Callable[["Attempt", bool, bool], Outcome | None]
 
 
-class Carrier(Protocol):
+class AttemptConnection(Protocol):
     """The connection that an attempt goes over."""
 
-    written: bool  # the host may have the last byte
+    is_fully_written: bool  # the host may have the last byte
 
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether nothing has come since the last answer."""
 
     def drop(self) -> None:
@@ -31,18 +31,18 @@
     def resume(self, attempt: Attempt, body: Flow) -> None:
         """Go on with an attempt of another process, whose body still comes."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Another process goes on with it: close it without a word."""
 
 
-class Target(Protocol):
+class TargetHost(Protocol):
     """The host that an attempt goes to."""
 
     member: Member
     connecting: set[Attempt]
 
 
-class Sender(Protocol):
+class AttemptSender(Protocol):
     """Whoever sends attempts to hosts, and tells of each how it ended."""
 
     def update(self, members: Iterable[Member], complete: bool) -> None:
@@ -52,12 +52,12 @@
         self,
         server: ServerId,
         message: Message,
-        expires: float,
-        ended: Ended,
+        expires_at: float,
+        on_ended: EndedCallback,
         owner: Any = None,
         number: int = 0,
-        began: Began | None = None,
-        may_begin: MayBegin | None = None,
+        on_streaming: StreamingCallback | None = None,
+        may_begin: MayBeginCheck | None = None,
     ) -> Attempt | None:
         """Start an attempt; None if the host may not be sent to. It may end before this returns.
 
@@ -72,80 +72,82 @@
     """One sending of a request to a host; it ends exactly once."""
 
     __slots__ = (
-        "_ended",
-        "began",
-        "begun",
+        "_on_ended",
         "connection",
-        "expires",
+        "expires_at",
+        "has_begun",
         "host",
+        "is_streaming",
         "may_begin",
         "message",
         "number",
+        "on_streaming",
         "owner",
-        "started",
-        "streams",
+        "started_at",
         "task",
         "timer",
-        "waited",
+        "unread_seconds",
     )
 
     def __init__(
         self,
-        host: Target,
+        host: TargetHost,
         message: Message,
-        expires: float,
-        ended: Ended,
+        expires_at: float,
+        on_ended: EndedCallback,
         owner: Any,
         number: int,
         now: float,
-        began: Began | None = None,
-        may_begin: MayBegin | None = None,
+        on_streaming: StreamingCallback | None = None,
+        may_begin: MayBeginCheck | None = None,
     ) -> None:
-        self.began = began
+        self.on_streaming = on_streaming
         self.may_begin = may_begin
-        self.begun = False  # its first byte was let out
-        self.streams = False  # its answer goes to the client as it comes
+        self.has_begun = False  # its first byte was let out
+        self.is_streaming = False  # its answer goes to the client as it comes
         self.host = host
         self.message = message
-        self.expires = expires  # loop time
+        self.expires_at = expires_at  # loop time
         self.owner = owner  # whoever sends may keep here what it sends for, and the number of the attempt
         self.number = number
-        self.started = now  # loop time
-        self._ended: Ended | None = ended
-        self.connection: Carrier | None = None
+        self.started_at = now  # loop time
+        self._on_ended: EndedCallback | None = on_ended
+        self.connection: AttemptConnection | None = None
         self.task: asyncio.Task[Any] | None = None
-        self.waited = 0.0  # seconds for which its answer lay here unread
+        self.unread_seconds = 0.0  # seconds for which its answer lay here unread
         self.timer: Timer | None = None  # of whoever sends: needless once this has ended
 
     @property
-    def over(self) -> bool:
-        return self._ended is None
+    def is_over(self) -> bool:
+        return self._on_ended is None
 
     @property
-    def written(self) -> bool:
+    def is_fully_written(self) -> bool:
         """Whether the host may have the last byte."""
-        return self.connection is not None and self.connection.written
+        return self.connection is not None and self.connection.is_fully_written
 
     @property
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether something of its answer, or its connection's end, is here and was not read yet."""
-        return self.connection is not None and not self.connection.quiet()
+        return self.connection is not None and not self.connection.is_quiet()
 
-    def text(self, now: float) -> bytes:
-        left = max(0.0, self.expires - now)
+    def encode(self, now: float) -> bytes:
+        left = max(0.0, self.expires_at - now)
         # How long its client waits begins with the end of its body, which is still to come.
-        return write_request(self.message, left if self.message.rest is None else self.message.patience)
+        return serialize_request(
+            self.message, left if self.message.body_flow is None else self.message.client_timeout_seconds
+        )
 
     def end(self, outcome: Outcome, answer: Message | None = None) -> None:
-        ended, self._ended = self._ended, None
-        if ended is not None:
+        on_ended, self._on_ended = self._on_ended, None
+        if on_ended is not None:
             if self.timer is not None:
                 self.timer.cancel()
-            ended(self, outcome, answer)
+            on_ended(self, outcome, answer)
 
     def stop(self, outcome: Outcome) -> None:
         """Give it up: it has this outcome, and the host sees its connection close."""
-        if self._ended is None:
+        if self._on_ended is None:
             return
         self.host.connecting.discard(self)
         connection, self.connection = self.connection, None
--- a/whinrouter/net/config.py
+++ b/whinrouter/net/config.py
@@ -13,8 +13,8 @@
 
 from whinrouter import wire
 from whinrouter.interface import SECOND, Settings
-from whinrouter.membership.retry_policy import PUSHED, Patience, asked
-from whinrouter.net.discovery import read_list
+from whinrouter.membership.retry_policy import LOCAL_AGENT_POLICY, RetryPolicy, shared_service_policy
+from whinrouter.net.discovery import parse_list
 from whinrouter.net.hosts import HostList
 from whinrouter.operations.reload_checks import findings
 
@@ -42,10 +42,10 @@
     connect_time: float  # seconds after which a connection that is not made has failed
     idle_time: float  # seconds after which a host closes an idle connection at the latest
     sockets: int  # descriptors that the process may hold
-    patience: Patience  # with discovery
+    retry_policy: RetryPolicy  # with discovery
     control: Address | None = None  # where operators call
     listener: int | None = None  # the descriptor of a listening socket that is there already
-    told: Mapping[str, Any] = field(default_factory=dict)  # all of it, as it was read
+    raw: Mapping[str, Any] = field(default_factory=dict)  # all of it, as it was read
 
 
 def load(environment: Mapping[str, str]) -> Config:
@@ -69,63 +69,63 @@
     if not path:
         raise ConfigError("PROXY_CONFIG names no file")
     try:
-        told = orjson.loads(Path(path).read_bytes())
+        raw = orjson.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigError(f"cannot read PROXY_CONFIG: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
         raise ConfigError(f"PROXY_CONFIG is not JSON: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(raw, dict):
         raise ConfigError("PROXY_CONFIG holds no object")
-    told |= {key: environment[name] for key, name in overrides.items() if environment.get(name)}
-    wrong = findings(told, in_force.told) if in_force is not None else []
+    raw |= {key: environment[name] for key, name in overrides.items() if environment.get(name)}
+    wrong = findings(raw, in_force.raw) if in_force is not None else []
     if wrong:
         raise ConfigError("; ".join(wrong))
     try:
-        return _config(told, inherited(environment))
+        return _config(raw, inherited_descriptor(environment))
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         raise ConfigError(f"the configuration is no good: {type(error).__name__}: {error}") from None
 
 
-def _config(told: Mapping[str, Any], listener: int | None) -> Config:
-    setup = told["settings"]
-    limits, allowed = told.get("limits") or {}, setup.get("permissions") or {}
-    tuned = wire.settings(setup)
+def _config(raw: Mapping[str, Any], listener: int | None) -> Config:
+    setup = raw["settings"]
+    limits, permissions = raw.get("limits") or {}, setup.get("permissions") or {}
+    settings = wire.parse_settings(setup)
     return Config(
-        name=str(told.get("name") or ""),
-        listen=address(told["listen"]),
-        discovery=address(told["discovery"]),
-        seed=int.from_bytes(blake2b(str(told.get("seed")).encode(), digest_size=8).digest(), "big"),
-        known=read_list(told.get("known") or {"members": []}),
-        settings=tuned,
-        connect_time=int(allowed.get("dialTimeout") or SECOND // 4) / SECOND,
-        idle_time=int(allowed.get("connIdle") or 15 * SECOND) / SECOND,
+        name=str(raw.get("name") or ""),
+        listen=parse_address(raw["listen"]),
+        discovery=parse_address(raw["discovery"]),
+        seed=int.from_bytes(blake2b(str(raw.get("seed")).encode(), digest_size=8).digest(), "big"),
+        known=parse_list(raw.get("known") or {"members": []}),
+        settings=settings,
+        connect_time=int(permissions.get("dialTimeout") or SECOND // 4) / SECOND,
+        idle_time=int(permissions.get("connIdle") or 15 * SECOND) / SECOND,
         sockets=int(limits.get("sockets") or 1024),
-        patience=_patience(tuned, setup.get("invariants") or {}),
-        control=address(told["control"]) if told.get("control") else None,
+        retry_policy=_retry_policy(settings, setup.get("invariants") or {}),
+        control=parse_address(raw["control"]) if raw.get("control") else None,
         listener=listener,
-        told=told,
+        raw=raw,
     )
 
 
-def _patience(settings: Settings, rules: Mapping[str, Any]) -> Patience:
+def _retry_policy(settings: Settings, rules: Mapping[str, Any]) -> RetryPolicy:
     """With the service that lists hosts: an agent of this machine's own, or one for all gateways."""
     if not settings.must_subscribe:
-        return PUSHED
-    return asked(settings.balancers, int(rules.get("askEvery") or 10 * SECOND) / SECOND)
+        return LOCAL_AGENT_POLICY
+    return shared_service_policy(settings.balancers, int(rules.get("askEvery") or 10 * SECOND) / SECOND)
 
 
-FIRST_PASSED = 3  # the first descriptor of socket activation (sd_listen_fds)
+FIRST_ACTIVATION_DESCRIPTOR = 3  # the first descriptor of socket activation (sd_listen_fds)
 
 
-def inherited(environment: Mapping[str, str]) -> int | None:
+def inherited_descriptor(environment: Mapping[str, str]) -> int | None:
     """The descriptor of a listening socket that came with the process; None if none did."""
     if environment.get("PROXY_SOCKET_FD"):
         return int(environment["PROXY_SOCKET_FD"])
-    ours = environment.get("LISTEN_PID") == str(os.getpid())
-    return FIRST_PASSED if ours and environment.get("LISTEN_FDS", "0") != "0" else None
+    is_for_us = environment.get("LISTEN_PID") == str(os.getpid())
+    return FIRST_ACTIVATION_DESCRIPTOR if is_for_us and environment.get("LISTEN_FDS", "0") != "0" else None
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is no address of the form host:port")
--- a/whinrouter/net/connect.py
+++ b/whinrouter/net/connect.py
@@ -13,15 +13,15 @@
 from typing import Any, TypeVar
 
 from whinrouter.net.accept import Acceptor
-from whinrouter.net.sockets import readable
+from whinrouter.net.sockets import is_readable
 from whinrouter.net.transport import SocketTransport
 
 log = logging.getLogger(__name__)
 
 BACKLOG = 512  # connections that wait in the system for their turn
-ACCEPTED_AT_ONCE = 4  # each takes a descriptor before anyone can count it
-ACCEPT_TURNS = 3  # of the loop in which nothing waits to be accepted before the queue counts as empty
-ACCEPT_REST = 0.5  # seconds for taking what waits to be accepted when the listener closes
+ACCEPT_BATCH = 4  # each takes a descriptor before anyone can count it
+EMPTY_ACCEPT_TURNS = 3  # of the loop in which nothing waits to be accepted before the queue counts as empty
+ACCEPT_PENDING_SECONDS = 0.5  # seconds for taking what waits to be accepted when the listener closes
 
 # Errors that tell of a want of descriptors or memory on this machine, which may be over soon.
 RESOURCE_ERRORS = frozenset({errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
@@ -35,8 +35,8 @@
     errno.EPERM,
 }
 # Seconds before each further try: to connect, within a request's time, and to listen, within that of a start.
-CONNECT_PAUSES = (0.001, 0.002, 0.004)
-LISTEN_PAUSES = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4)
+CONNECT_RETRY_SECONDS = (0.001, 0.002, 0.004)
+LISTEN_RETRY_SECONDS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4)
 
 P = TypeVar("P", bound=asyncio.BaseProtocol)
 R = TypeVar("R")
@@ -75,7 +75,7 @@
     """
 
     async def try_once() -> P:
-        connected = await _connected(address)
+        connected = await _connected_socket(address)
         made = protocol()
         try:
             SocketTransport(connected, made)
@@ -84,14 +84,14 @@
             raise
         return made
 
-    return await with_retries(try_once, CONNECT_PAUSES, LOCAL_ERRORS)
+    return await with_retries(try_once, CONNECT_RETRY_SECONDS, LOCAL_ERRORS)
 
 
-async def _connected(address: tuple[str, int]) -> socket.socket:
+async def _connected_socket(address: tuple[str, int]) -> socket.socket:
     """A socket that is connected to this address, or to the first of a name's that takes the connection."""
     loop = asyncio.get_running_loop()
     failure = OSError(errno.EADDRNOTAVAIL, "the name has no address")
-    for family, target in await _resolved(address):
+    for family, target in await _resolve(address):
         endpoint = socket.socket(family, socket.SOCK_STREAM)
         try:
             endpoint.setblocking(False)
@@ -106,7 +106,7 @@
     raise failure
 
 
-async def _resolved(address: tuple[str, int]) -> list[tuple[socket.AddressFamily, Any]]:
+async def _resolve(address: tuple[str, int]) -> list[tuple[socket.AddressFamily, Any]]:
     """The addresses that this one stands for: itself unless it is a name."""
     host, port = address
     for family in (socket.AF_INET, socket.AF_INET6):
@@ -118,7 +118,7 @@
 
 
 async def connect(
-    protocol: Callable[[], P], address: tuple[str, int], seconds: float, up: Callable[[P], None]
+    protocol: Callable[[], P], address: tuple[str, int], seconds: float, on_connected: Callable[[P], None]
 ) -> ConnectResult:
     """Connect within so many seconds and call `up`; if it comes to nothing, say why."""
     try:
@@ -128,7 +128,7 @@
         return ConnectResult.FAILED
     except OSError as error:
         return ConnectResult.LOCAL_FAILURE if error.errno in LOCAL_ERRORS else ConnectResult.FAILED
-    up(connection)
+    on_connected(connection)
     return ConnectResult.UP
 
 
@@ -139,7 +139,7 @@
         self._protocol = protocol
         self._acceptor: Acceptor | None = None
         self._socket: socket.socket | None = None
-        self.shared = False  # other processes accept from the same socket
+        self.is_shared = False  # other processes accept from the same socket
 
     @property
     def descriptor(self) -> int | None:
@@ -153,7 +153,7 @@
         `inherited` is the descriptor of a socket that listens already, and that whoever started the process
         holds too.
         """
-        self.shared = inherited is not None
+        self.is_shared = inherited is not None
         if inherited is not None:
             self._socket = socket.socket(fileno=os.dup(inherited))
             if not self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -169,22 +169,22 @@
         """Take connections at the address that is bound; return its port."""
         listener = self._socket
         assert listener is not None
-        self._acceptor = Acceptor(listener, self._protocol, ACCEPTED_AT_ONCE)
+        self._acceptor = Acceptor(listener, self._protocol, ACCEPT_BATCH)
         listener.listen(BACKLOG)
         return int(listener.getsockname()[1]) if listener.family != socket.AF_UNIX else 0
 
-    async def accept_rest(self) -> None:
+    async def accept_pending(self) -> None:
         """Take what waits to be accepted: closing the listener would reset it, with the requests on it.
 
         What waits at a shared one is the others'.
         """
-        quiet, acceptor = 0, self._acceptor
-        if self.shared and acceptor is not None:
+        empty_turns, acceptor = 0, self._acceptor
+        if self.is_shared and acceptor is not None:
             acceptor.stop()
         try:
-            async with asyncio.timeout(ACCEPT_REST):
-                while not self.shared and self._socket is not None and quiet < ACCEPT_TURNS:
-                    quiet = 0 if readable(self._socket) else quiet + 1
+            async with asyncio.timeout(ACCEPT_PENDING_SECONDS):
+                while not self.is_shared and self._socket is not None and empty_turns < EMPTY_ACCEPT_TURNS:
+                    empty_turns = 0 if is_readable(self._socket) else empty_turns + 1
                     await asyncio.sleep(0)
         except TimeoutError:
             log.warning("connections still came faster than they were accepted")
--- a/whinrouter/net/hosts.py
+++ b/whinrouter/net/hosts.py
@@ -23,6 +23,6 @@
     members: tuple[Member, ...]
 
 
-def number(host: str) -> ServerId:
+def hashed_server_id(host: str) -> ServerId:
     """The module's number for a host: a hash, so that it is the same at every gateway and after a restart."""
     return int.from_bytes(blake2b(host.encode(), digest_size=8).digest(), "big")
