--- a/whinrouter/net/priority_selector.py
+++ b/whinrouter/net/priority_selector.py
@@ -18,70 +18,80 @@
 import time
 from collections import deque
 
-from whinrouter.net.sockets import age
-from whinrouter.overload_control import OwnLimit
+from whinrouter.net.sockets import seconds_since_received
+from whinrouter.overload_control import OverloadControl
 
-Events = list[tuple[selectors.SelectorKey, int]]
+ReadyEvents = list[tuple[selectors.SelectorKey, int]]
 
-GRAIN = 0.01  # seconds, the coarsest tick of a Linux clock: its counts may be off by one
+CLOCK_TICK_SECONDS = 0.01  # seconds, the coarsest tick of a Linux clock: its counts may be off by one
 # Looks from an accept to the first read: it waits for its turn, is set up in two more, and is then looked at.
-ACCEPT_LOOKS = 5
+POLLS_BEFORE_FIRST_READ = 5
 
 
-class Door(selectors.DefaultSelector):
+class PrioritySelector(selectors.DefaultSelector):
     """A selector for `asyncio.SelectorEventLoop`; the descriptors of clients are to be named here."""
 
-    def __init__(self, own: OwnLimit) -> None:
+    def __init__(self, overload: OverloadControl) -> None:
         super().__init__()
-        self.own = own
+        self.overload = overload
         # Descriptors of clients' connections, from each one's first call to its last.
-        self.clients: set[int] = set()
-        self.listeners: set[int] = set()
+        self.client_descriptors: set[int] = set()
+        self.listener_descriptors: set[int] = set()
         # When the latest looks ended at which nothing was held back.
-        self._looks: deque[float] = deque([0.0] * ACCEPT_LOOKS, ACCEPT_LOOKS)
+        self._complete_polls: deque[float] = deque([0.0] * POLLS_BEFORE_FIRST_READ, POLLS_BEFORE_FIRST_READ)
         # Nothing that is read in this turn came before; nor on a connection of which it is the first.
-        self._since = self._accepted_since = 0.0
+        self._last_complete_poll = self._accept_poll = 0.0
 
-    def lay(self, transport: asyncio.BaseTransport, first: bool = False) -> float:
+    def unread_seconds(self, transport: asyncio.BaseTransport, is_first_read: bool = False) -> float:
         """Seconds for which what is read now lay here unread; 0.0 where nobody can tell.
 
         `first`: nothing was read from the connection before, which may have waited to be accepted.
         """
-        told = age(transport)
-        return told if told <= self.at_most(first) + GRAIN else 0.0
+        age_seconds = seconds_since_received(transport)
+        return (
+            age_seconds if age_seconds <= self.max_unread_seconds(is_first_read) + CLOCK_TICK_SECONDS else 0.0
+        )
 
-    def at_most(self, first: bool = False) -> float:
+    def max_unread_seconds(self, is_first_read: bool = False) -> float:
         """Seconds for which what is read now can have lain here at most, by this process's own clock."""
-        return time.monotonic() - (self._accepted_since if first else self._since)
+        return time.monotonic() - (self._accept_poll if is_first_read else self._last_complete_poll)
 
-    def select(self, timeout: float | None = None) -> Events:
-        began = time.monotonic()
+    def select(self, timeout: float | None = None) -> ReadyEvents:
+        started_at = time.monotonic()
         events = super().select(timeout)
-        now, self._since, self._accepted_since = time.monotonic(), self._looks[-1], self._looks[0]
-        told = events if len(events) < 2 and not self.own.reached else self._arrange(events, now)
+        now, self._last_complete_poll, self._accept_poll = (
+            time.monotonic(),
+            self._complete_polls[-1],
+            self._complete_polls[0],
+        )
+        selected = (
+            events if len(events) < 2 and not self.overload.is_overloaded else self._prioritize(events, now)
+        )
         # One that was put aside beyond its time (SIGSTOP) comes back with nothing, without another look.
-        overslept = not events and timeout is not None and now - began > max(0.0, timeout) + GRAIN
-        if len(told) == len(events) and not overslept:
-            self._looks.append(now)
-        return told
+        was_suspended = (
+            not events and timeout is not None and now - started_at > max(0.0, timeout) + CLOCK_TICK_SECONDS
+        )
+        if len(selected) == len(events) and not was_suspended:
+            self._complete_polls.append(now)
+        return selected
 
-    def _arrange(self, events: Events, now: float) -> Events:
-        begun: Events = []
-        reads: Events = []
-        accepts: Events = []
+    def _prioritize(self, events: ReadyEvents, now: float) -> ReadyEvents:
+        other_events: ReadyEvents = []
+        client_reads: ReadyEvents = []
+        accepts: ReadyEvents = []
         for event in events:
             descriptor = event[0].fd
-            if descriptor in self.clients:
-                reads.append(event)
-            elif descriptor in self.listeners:
+            if descriptor in self.client_descriptors:
+                client_reads.append(event)
+            elif descriptor in self.listener_descriptors:
                 accepts.append(event)
             else:
-                begun.append(event)
-        self.own.passes(now)
-        most = self.own.reads()
-        if most is not None:
-            del reads[most:]
+                other_events.append(event)
+        self.overload.advance(now)
+        max_reads = self.overload.read_limit()
+        if max_reads is not None:
+            del client_reads[max_reads:]
         # With nothing else to do there is no limit, and to wait here would be to spin.
-        if accepts and (begun or reads) and not self.own.accepts(now):
+        if accepts and (other_events or client_reads) and not self.overload.may_accept(now):
             accepts = []
-        return begun + reads + accepts
+        return other_events + client_reads + accepts
--- a/whinrouter/net/routes.py
+++ b/whinrouter/net/routes.py
@@ -15,7 +15,7 @@
 
 from whinrouter.interface import RequestClass
 
-_ODD = (b"%", b"//", b"/.", b"\\", b";")
+_AMBIGUOUS = (b"%", b"//", b"/.", b"\\", b";")
 
 
 class Route(NamedTuple):
@@ -38,8 +38,8 @@
             return None
         path = target.partition(b"?")[0].partition(b"#")[0]
         found = self._longest(path)
-        if any(part in path for part in _ODD) and any(
-            self._longest(read) is not found for read in _readings(path)
+        if any(mark in path for mark in _AMBIGUOUS) and any(
+            self._longest(reading) is not found for reading in _interpretations(path)
         ):
             return None
         return found
@@ -52,11 +52,11 @@
         return self._routes[path]
 
 
-def _readings(path: bytes) -> list[bytes]:
+def _interpretations(path: bytes) -> list[bytes]:
     """Other readings of a path that hosts are known to have."""
     plain = path.replace(b"\\", b"/")
     # Of parameters (RFC 3986, 3.3) some hosts look at the part before alone.
-    bare = b"/".join(part.partition(b";")[0] for part in plain.split(b"/"))
+    bare = b"/".join(segment.partition(b";")[0] for segment in plain.split(b"/"))
     readings = [plain, bare]
     for _ in range(2):  # escapes of escapes are read twice by hosts behind hosts
         readings += [unquote_to_bytes(reading) for reading in readings]
--- a/whinrouter/net/sockets.py
+++ b/whinrouter/net/sockets.py
@@ -13,33 +13,36 @@
 from whinrouter.net.transport import SocketTransport
 
 _TCP_INFO = getattr(socket, "TCP_INFO", None) if sys.platform == "linux" else None
-_LAST_RECEIVED, _INFO_SIZE = 52, 56  # the field's place in struct tcp_info, and the end of what is read
+_LAST_RECEIVED, _LAST_RECEIVED_END = (
+    52,
+    56,
+)  # the field's place in struct tcp_info, and the end of what is read
 _ACKED = 120  # the place of tcpi_bytes_acked, of 8 bytes
-_GONE = getattr(select, "POLLRDHUP", select.POLLHUP)
+_PEER_CLOSED = getattr(select, "POLLRDHUP", select.POLLHUP)
 
 
-def unread(transport: asyncio.BaseTransport) -> bool:
+def has_unread(transport: asyncio.BaseTransport) -> bool:
     """Whether bytes, or the peer's end of the connection, wait in the system, as when the loop runs late.
 
     What the loop was told of is older than this: between its look at the sockets and a decision to close one
     lie all the other callbacks of its turn.
     """
-    return readable(transport.get_extra_info("socket"))
+    return is_readable(transport.get_extra_info("socket"))
 
 
-def readable(endpoint: socket.socket) -> bool:
+def is_readable(endpoint: socket.socket) -> bool:
     """Whether a read, or an accept, would find something at once."""
-    return bool(poller(endpoint)(0))
+    return bool(read_poller(endpoint)(0))
 
 
-def poller(endpoint: socket.socket) -> Callable[[float], list[tuple[int, int]]]:
+def read_poller(endpoint: socket.socket) -> Callable[[float], list[tuple[int, int]]]:
     """What `readable` asks, for one that is asked often: called with 0, it gives a list of what waits."""
     poll = select.poll()
     poll.register(endpoint, select.POLLIN)
     return poll.poll
 
 
-def age(transport: asyncio.BaseTransport) -> float:
+def seconds_since_received(transport: asyncio.BaseTransport) -> float:
     """Seconds since the peer's last bytes came, to a millisecond; 0.0 where the system does not tell.
 
     It is tcpi_last_data_recv of Linux's TCP_INFO (linux/tcp.h), which counts from the connection's start
@@ -48,13 +51,15 @@
     if _TCP_INFO is None:
         return 0.0
     try:
-        told: bytes = transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, _TCP_INFO, _INFO_SIZE)
+        info: bytes = transport.get_extra_info("socket").getsockopt(
+            socket.IPPROTO_TCP, _TCP_INFO, _LAST_RECEIVED_END
+        )
     except (OSError, AttributeError):
         return 0.0
-    return int.from_bytes(told[_LAST_RECEIVED:_INFO_SIZE], sys.byteorder) / 1000
+    return int.from_bytes(info[_LAST_RECEIVED:_LAST_RECEIVED_END], sys.byteorder) / 1000
 
 
-def acknowledged(transport: asyncio.BaseTransport) -> int:
+def acknowledged_bytes(transport: asyncio.BaseTransport) -> int:
     """Bytes that the peer's machine has acknowledged since the start; -1 where the system does not tell.
 
     It is tcpi_bytes_acked. What its program does not read is acknowledged up to the size of its buffer alone.
@@ -62,16 +67,16 @@
     if _TCP_INFO is None:
         return -1
     try:
-        told: bytes = transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, _TCP_INFO, _ACKED + 8)
+        info: bytes = transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, _TCP_INFO, _ACKED + 8)
     except (OSError, AttributeError):
         return -1
-    return int.from_bytes(told[_ACKED : _ACKED + 8], sys.byteorder) if len(told) == _ACKED + 8 else -1
+    return int.from_bytes(info[_ACKED : _ACKED + 8], sys.byteorder) if len(info) == _ACKED + 8 else -1
 
 
-def left(transport: asyncio.BaseTransport) -> bool:
+def has_peer_closed(transport: asyncio.BaseTransport) -> bool:
     """Whether the peer has ended its side, though bytes of it may wait unread before that end."""
     poll = select.poll()
-    poll.register(transport.get_extra_info("socket"), _GONE)
+    poll.register(transport.get_extra_info("socket"), _PEER_CLOSED)
     return bool(poll.poll(0))
 
 
@@ -90,7 +95,7 @@
     transport.abort()
 
 
-def end(transport: asyncio.Transport) -> None:
+def close_now(transport: asyncio.Transport) -> None:
     """Close now.
 
     A transport closes its socket in the loop's next turn. What came till then would be reset with it, while a
--- a/whinrouter/net/timer_wheel.py
+++ b/whinrouter/net/timer_wheel.py
@@ -24,8 +24,8 @@
 
     __slots__ = ("args", "call")
 
-    def __init__(self, call: Callable[..., object], args: tuple[Any, ...]) -> None:
-        self.call: Callable[..., object] | None = call
+    def __init__(self, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
+        self.call: Callable[..., object] | None = callback
         self.args = args
 
     def cancel(self) -> None:
@@ -33,7 +33,7 @@
         self.call, self.args = None, ()
 
 
-class Wheel:
+class TimerWheel:
     """Timers by tick. A cancelled one stays as an empty entry until its tick."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -42,9 +42,9 @@
         self._order: list[int] = []  # a heap of the ticks that have timers
         self._armed: asyncio.TimerHandle | None = None
 
-    def call_later(self, delay: float, call: Callable[..., object], *args: Any) -> Timer:
+    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
         """Call after so many seconds."""
-        timer = Timer(call, args)
+        timer = Timer(callback, args)
         tick = int((self._loop.time() + delay) / TICK) + 1
         timers = self._ticks.get(tick)
         if timers is not None:
@@ -57,16 +57,16 @@
         return timer
 
     @property
-    def armed(self) -> bool:
+    def is_armed(self) -> bool:
         """Whether the loop's timer is set."""
         return self._armed is not None
 
     def _arm(self) -> None:
         if self._armed is not None:
             self._armed.cancel()
-        self._armed = self._loop.call_at(self._order[0] * TICK, self._turn) if self._order else None
+        self._armed = self._loop.call_at(self._order[0] * TICK, self._fire_due) if self._order else None
 
-    def _turn(self) -> None:
+    def _fire_due(self) -> None:
         self._armed = None
         now = self._loop.time() + TICK / 2  # the loop wakes up to its clock's resolution early
         while self._order and self._order[0] * TICK <= now:
@@ -75,8 +75,8 @@
                     try:
                         timer.call(*timer.args)
                     except Exception:  # as the loop does: one call's fault is not the next one's
-                        log.exception("a timer's call failed")
+                        log.exception("a timer's callback failed")
         # By way of a property: the compiler takes the field for None still, whatever calls have set since,
         # and one that set the next timer made this line raise.
-        if not self.armed:
+        if not self.is_armed:
             self._arm()
--- a/whinrouter/net/transport.py
+++ b/whinrouter/net/transport.py
@@ -19,7 +19,7 @@
 from collections.abc import Callable
 from typing import Any
 
-HIGH_WATER = 64 * 1024  # bytes that wait for the peer, past which the protocol is told to pause
+HIGH_WATER_BYTES = 64 * 1024  # bytes that wait for the peer, past which the protocol is told to pause
 
 
 class SocketTransport(asyncio.Transport):
@@ -27,31 +27,31 @@
 
     def __init__(
         self,
-        endpoint: socket.socket,
+        connected_socket: socket.socket,
         protocol: asyncio.BaseProtocol,
         unsent: bytes = b"",
-        frozen: bool = False,
+        is_frozen: bool = False,
     ) -> None:
         """Begin to read at once, unless `frozen`. `unsent`: bytes that go out ahead of all others."""
-        extra = {"socket": endpoint, "peername": _name(endpoint.getpeername)}
-        super().__init__(extra | {"sockname": _name(endpoint.getsockname)})
-        endpoint.setblocking(False)
-        if endpoint.family in (socket.AF_INET, socket.AF_INET6):
-            endpoint.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        extra = {"socket": connected_socket, "peername": _address_or_none(connected_socket.getpeername)}
+        super().__init__(extra | {"sockname": _address_or_none(connected_socket.getsockname)})
+        connected_socket.setblocking(False)
+        if connected_socket.family in (socket.AF_INET, socket.AF_INET6):
+            connected_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._loop = asyncio.get_running_loop()
-        self._socket, self._descriptor = endpoint, endpoint.fileno()
+        self._socket, self._descriptor = connected_socket, connected_socket.fileno()
         self._protocol = protocol
         self._buffer = bytearray(unsent)
-        self._high, self._low = HIGH_WATER, HIGH_WATER // 4
-        self._is_full = False  # the protocol was told to pause
-        self._is_writing = False  # the loop looks for room
+        self._high_water_bytes, self._low_water_bytes = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
+        self._is_writing_paused = False  # the protocol was told to pause
+        self._is_writer_registered = False  # the loop looks for room
         self._is_reading = True  # as far as the protocol wishes
-        self._is_frozen = frozen
-        self._is_closing = self._is_lost = self._is_ended = False
+        self._is_frozen = is_frozen
+        self._is_closing = self._is_disconnected = self._is_eof_requested = False
         protocol.connection_made(self)
-        self._pause_if_full()
-        self._set_reader()
-        self._set_writer()
+        self._pause_writing_if_full()
+        self._update_reader()
+        self._update_writer()
 
     @property
     def is_frozen(self) -> bool:
@@ -59,22 +59,22 @@
         return self._is_frozen
 
     @property
-    def is_full(self) -> bool:
+    def is_writing_paused(self) -> bool:
         """Whether its protocol was told to pause writing, and will be told to resume."""
-        return self._is_full
+        return self._is_writing_paused
 
     def freeze(self) -> bytes:
         """Neither read nor write until `thaw`; return the bytes that the system has not taken."""
         self._is_frozen = True
-        self._set_reader()
-        self._set_writer()
+        self._update_reader()
+        self._update_writer()
         return bytes(self._buffer)
 
     def thaw(self) -> None:
         """Go on where `freeze` stopped."""
         self._is_frozen = False
-        self._set_reader()
-        self._set_writer()
+        self._update_reader()
+        self._update_writer()
 
     def get_protocol(self) -> asyncio.BaseProtocol:
         return self._protocol
@@ -87,46 +87,46 @@
 
     def pause_reading(self) -> None:
         self._is_reading = False
-        self._set_reader()
+        self._update_reader()
 
     def resume_reading(self) -> None:
         self._is_reading = True
-        self._set_reader()
+        self._update_reader()
 
-    def _set_reader(self) -> None:
-        if self._is_lost:
+    def _update_reader(self) -> None:
+        if self._is_disconnected:
             return
         if self._is_reading and not (self._is_frozen or self._is_closing):
             self._loop.add_reader(self._descriptor, self._read_ready)
         else:
             self._loop.remove_reader(self._descriptor)
 
-    def _set_writer(self) -> None:
+    def _update_writer(self) -> None:
         """Have the loop look for room while bytes wait."""
-        wanted = bool(self._buffer) and not (self._is_frozen or self._is_lost)
-        if wanted and not self._is_writing:
+        is_needed = bool(self._buffer) and not (self._is_frozen or self._is_disconnected)
+        if is_needed and not self._is_writer_registered:
             self._loop.add_writer(self._descriptor, self._write_ready)
-        elif self._is_writing and not wanted:
+        elif self._is_writer_registered and not is_needed:
             self._loop.remove_writer(self._descriptor)
-        self._is_writing = wanted
+        self._is_writer_registered = is_needed
 
     def _read_ready(self) -> None:
-        if self._is_lost:
+        if self._is_disconnected:
             return
         try:
-            count = self._read()
+            count = self._receive()
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self._lose(error)
+            self._force_close(error)
             return
         except Exception as error:
-            self._fail(error)
+            self._handle_protocol_error(error)
             return
         if not count:
-            self._read_end()
+            self._handle_eof()
 
-    def _read(self) -> int:
+    def _receive(self) -> int:
         protocol = self._protocol
         if isinstance(protocol, asyncio.BufferedProtocol):
             count = self._socket.recv_into(protocol.get_buffer(-1))
@@ -134,12 +134,12 @@
                 protocol.buffer_updated(count)
             return count
         assert isinstance(protocol, asyncio.Protocol)
-        data = self._socket.recv(HIGH_WATER)
+        data = self._socket.recv(HIGH_WATER_BYTES)
         if data:
             protocol.data_received(data)
         return len(data)
 
-    def _read_end(self) -> None:
+    def _handle_eof(self) -> None:
         protocol = self._protocol
         assert isinstance(protocol, asyncio.BufferedProtocol | asyncio.Protocol)
         if protocol.eof_received():
@@ -148,9 +148,9 @@
             self.close()
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        if self._is_ended:
+        if self._is_eof_requested:
             raise RuntimeError("nothing may be written behind the end")
-        if not data or self._is_lost:
+        if not data or self._is_disconnected:
             return
         if not (self._buffer or self._is_frozen):
             try:
@@ -158,50 +158,50 @@
             except (BlockingIOError, InterruptedError):
                 sent = 0
             except OSError as error:
-                self._lose(error)
+                self._force_close(error)
                 return
             if sent == len(data):
                 return
             data = memoryview(data)[sent:]
         self._buffer += data
-        self._set_writer()
-        self._pause_if_full()
+        self._update_writer()
+        self._pause_writing_if_full()
 
-    def _pause_if_full(self) -> None:
-        if len(self._buffer) > self._high and not self._is_full:
-            self._is_full = True
+    def _pause_writing_if_full(self) -> None:
+        if len(self._buffer) > self._high_water_bytes and not self._is_writing_paused:
+            self._is_writing_paused = True
             self._protocol.pause_writing()
 
     def _write_ready(self) -> None:
-        if self._is_lost or self._is_frozen:
+        if self._is_disconnected or self._is_frozen:
             return
         try:
             sent = self._socket.send(self._buffer)
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self._lose(error)
+            self._force_close(error)
             return
         del self._buffer[:sent]
-        if self._is_full and len(self._buffer) <= self._low:
-            self._is_full = False
+        if self._is_writing_paused and len(self._buffer) <= self._low_water_bytes:
+            self._is_writing_paused = False
             self._protocol.resume_writing()
         if self._buffer:
             return
-        self._set_writer()
+        self._update_writer()
         if self._is_closing:
-            self._end(None)
-        elif self._is_ended:
-            self._shut_down()
+            self._schedule_connection_lost(None)
+        elif self._is_eof_requested:
+            self._shut_down_writing()
 
     def write_eof(self) -> None:
-        if self._is_closing or self._is_ended:
+        if self._is_closing or self._is_eof_requested:
             return
-        self._is_ended = True
+        self._is_eof_requested = True
         if not self._buffer:
-            self._shut_down()
+            self._shut_down_writing()
 
-    def _shut_down(self) -> None:
+    def _shut_down_writing(self) -> None:
         if not self._is_frozen:
             self._socket.shutdown(socket.SHUT_WR)
 
@@ -212,47 +212,47 @@
         return len(self._buffer)
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        return self._low, self._high
+        return self._low_water_bytes, self._high_water_bytes
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         if high is None:
-            high = HIGH_WATER if low is None else 4 * low
-        self._high = high
-        self._low = high // 4 if low is None else low
-        self._pause_if_full()
+            high = HIGH_WATER_BYTES if low is None else 4 * low
+        self._high_water_bytes = high
+        self._low_water_bytes = high // 4 if low is None else low
+        self._pause_writing_if_full()
 
     def close(self) -> None:
         if self._is_closing:
             return
         self._is_closing = True
-        self._set_reader()
+        self._update_reader()
         if not self._buffer:
-            self._end(None)
+            self._schedule_connection_lost(None)
 
     def abort(self) -> None:
-        self._lose(None)
+        self._force_close(None)
 
-    def _lose(self, error: Exception | None) -> None:
+    def _force_close(self, error: Exception | None) -> None:
         """Close now, without what has not gone out."""
-        if self._is_lost:
+        if self._is_disconnected:
             return
         self._buffer.clear()
-        self._set_writer()
+        self._update_writer()
         self._is_closing = True
-        self._set_reader()
-        self._end(error)
+        self._update_reader()
+        self._schedule_connection_lost(error)
 
-    def _fail(self, error: Exception) -> None:
+    def _handle_protocol_error(self, error: Exception) -> None:
         """Its protocol is at fault: say so, and close."""
         self._loop.call_exception_handler(
             {"message": "failed on what was read", "exception": error, "transport": self}
         )
-        self._lose(error)
+        self._force_close(error)
 
-    def _end(self, error: Exception | None) -> None:
-        if self._is_lost:
+    def _schedule_connection_lost(self, error: Exception | None) -> None:
+        if self._is_disconnected:
             return
-        self._is_lost = True
+        self._is_disconnected = True
         self._loop.call_soon(self._connection_lost, error)
 
     def _connection_lost(self, error: Exception | None) -> None:
@@ -262,9 +262,9 @@
             self._socket.close()
 
 
-def _name(ask: Callable[[], Any]) -> Any:
+def _address_or_none(get_address: Callable[[], Any]) -> Any:
     """What a socket says of an end; None if it does not, as its peer has gone."""
     try:
-        return ask()
+        return get_address()
     except OSError:
         return None
--- a/whinrouter/operations/maintenance.py
+++ b/whinrouter/operations/maintenance.py
@@ -23,10 +23,10 @@
 from whinrouter.interface import Server, ServerId, State, Update
 
 # Hosts that may be out. More than any fleet has; ids that were known once can't be gathered without end.
-MOST_OUT = 4096
+MAX_HOSTS_OUT = 4096
 
 
-class NoSuchHostError(Exception):
+class UnknownHostError(Exception):
     """Nobody has this id."""
 
 
@@ -34,65 +34,67 @@
 class Maintenance:
     """What is out, and what came back; an entry of either leaves with its call or with its host."""
 
-    told: dict[ServerId, Server] = field(default_factory=dict)  # as discovery has them now
-    out: dict[ServerId, int] = field(default_factory=dict)  # when each was taken out
-    back: dict[ServerId, int] = field(default_factory=dict)  # when each was put back
+    listed: dict[ServerId, Server] = field(default_factory=dict)  # as discovery has them now
+    taken_out_at: dict[ServerId, int] = field(default_factory=dict)  # when each was taken out
+    put_back_at: dict[ServerId, int] = field(default_factory=dict)  # when each was put back
 
-    def follow(self, update: Update, servers: tuple[Server, ...]) -> tuple[Server, ...]:
+    def apply(self, update: Update, servers: tuple[Server, ...]) -> tuple[Server, ...]:
         """What discovery tells, as the gateway is to have it."""
         if update is not Update.CHANGES:
-            self.told = {}
+            self.listed = {}
         for server in servers:
             if server.state is State.GONE:
-                self.told.pop(server.id, None)
+                self.listed.pop(server.id, None)
             else:
-                self.told[server.id] = server
-        for server_id in [server_id for server_id in self.back if server_id not in self.told]:
-            del self.back[server_id]  # it has left: whoever comes under its id tells a start of its own
-        return tuple(self._shown(server) for server in servers)
-
-    def _shown(self, server: Server) -> Server:
-        if server.id in self.out:
+                self.listed[server.id] = server
+        for server_id in [server_id for server_id in self.put_back_at if server_id not in self.listed]:
+            del self.put_back_at[
+                server_id
+            ]  # it has left: whoever comes under its id tells a start of its own
+        return tuple(self._effective_server(server) for server in servers)
+
+    def _effective_server(self, server: Server) -> Server:
+        if server.id in self.taken_out_at:
             return replace(server, state=State.DRAINING) if server.state is State.READY else server
-        back = self.back.get(server.id)
-        if back is None:
+        put_back_at = self.put_back_at.get(server.id)
+        if put_back_at is None:
             return server
-        if server.started > back:
-            del self.back[server.id]
+        if server.started_at > put_back_at:
+            del self.put_back_at[server.id]
             return server
-        return replace(server, started=back)
+        return replace(server, started_at=put_back_at)
 
     def take_out(self, server_id: ServerId, now: int) -> tuple[Server, ...]:
         """The changes for the gateway; none if it was out. NoSuchHostError if nobody has this id."""
-        if server_id in self.out:
+        if server_id in self.taken_out_at:
             return ()
-        server = self.told.get(server_id)
-        if server is None or len(self.out) >= MOST_OUT:
-            raise NoSuchHostError
-        self.out[server_id] = now
-        self.back.pop(server_id, None)
-        return (self._shown(server),)
+        server = self.listed.get(server_id)
+        if server is None or len(self.taken_out_at) >= MAX_HOSTS_OUT:
+            raise UnknownHostError
+        self.taken_out_at[server_id] = now
+        self.put_back_at.pop(server_id, None)
+        return (self._effective_server(server),)
 
     def put_back(self, server_id: ServerId, now: int) -> tuple[Server, ...]:
         """The changes for the gateway; none if it was not out, or is not listed."""
-        server = self.told.get(server_id)
-        if server_id not in self.out:
+        server = self.listed.get(server_id)
+        if server_id not in self.taken_out_at:
             if server is None:
-                raise NoSuchHostError
+                raise UnknownHostError
             return ()
-        del self.out[server_id]
+        del self.taken_out_at[server_id]
         if server is None:
             return ()
-        self.back[server_id] = now
-        return (self._shown(server),)
+        self.put_back_at[server_id] = now
+        return (self._effective_server(server),)
 
     def ages(self, now: int) -> tuple[dict[ServerId, int], dict[ServerId, int]]:
         """How long ago hosts were taken out, and put back: what another process goes on from."""
-        out = {server_id: now - moment for server_id, moment in self.out.items()}
-        back = {server_id: now - moment for server_id, moment in self.back.items()}
-        return out, back
+        out_ages = {server_id: now - changed_at for server_id, changed_at in self.taken_out_at.items()}
+        back_ages = {server_id: now - changed_at for server_id, changed_at in self.put_back_at.items()}
+        return out_ages, back_ages
 
-    def adopt(self, out: Mapping[ServerId, int], back: Mapping[ServerId, int], now: int) -> None:
+    def restore(self, out_ages: Mapping[ServerId, int], back_ages: Mapping[ServerId, int], now: int) -> None:
         """Go on with what another process of this gateway has, told as ages."""
-        self.out = {server_id: now - age for server_id, age in out.items()}
-        self.back = {server_id: now - age for server_id, age in back.items()}
+        self.taken_out_at = {server_id: now - age for server_id, age in out_ages.items()}
+        self.put_back_at = {server_id: now - age for server_id, age in back_ages.items()}
--- a/whinrouter/operations/presence.py
+++ b/whinrouter/operations/presence.py
@@ -19,16 +19,16 @@
 # The front asks ten times a second and stops 0.2 s after a no; by then few connections are dealt to us any
 # more, and closing an idle one does not bring it back. All idle ones are gone after this and LEAST_REST,
 # which is before a platform that gives a process the shortest deadlines and 0.7 s ends it.
-PATIENT = 1.2
-LEAST_REST = 0.25  # seconds that a new connection has for its first request
+INITIAL_IDLE_SECONDS = 1.2
+MIN_IDLE_SECONDS = 0.25  # seconds that a new connection has for its first request
 # A platform ends a process no sooner than this and the longest deadline after SIGTERM, and counts as the
 # longest one at most so much. What comes after the first of these, as its first bytes were here before, has
 # to be answered by then; what came before has its own time.
-ENDS_AFTER, MOST_COUNTED = 0.7, 3.0
+KILL_DELAY_SECONDS, MAX_COUNTED_DEADLINE_SECONDS = 0.7, 3.0
 # Seconds before that end by which each client has its answer, or a refusal of what still comes: its way to
 # the client, a loop that runs late, and a client that still sends, which reads the answer before its
 # connection is reset.
-LAST_ANSWERS = 0.4
+LAST_ANSWER_MARGIN_SECONDS = 0.4
 
 
 class Stage(Enum):
@@ -47,7 +47,7 @@
         self._since = 0.0
 
     @property
-    def up(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether the front may send clients."""
         return self.stage is Stage.SERVING
 
@@ -68,26 +68,33 @@
             self._since = now
         self.stage = Stage.STOPPING
 
-    def time_left(self, now: float, longest: float) -> float | None:
+    def time_left(self, now: float, longest_deadline: float) -> float | None:
         """Seconds within which a request that comes now is to be answered; None: within its own time.
 
         `longest`: the longest that any has.
         """
-        if self.stage is not Stage.STOPPING or now <= self._since + ENDS_AFTER:
+        if self.stage is not Stage.STOPPING or now <= self._since + KILL_DELAY_SECONDS:
             return None
-        return max(0.0, self._since + ENDS_AFTER + min(longest, MOST_COUNTED) - now)
+        return max(
+            0.0, self._since + KILL_DELAY_SECONDS + min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS) - now
+        )
 
-    def last_answer(self, longest: float) -> float | None:
+    def answer_deadline(self, longest_deadline: float) -> float | None:
         """The moment by which what came after the signal, or still comes, has its answer; None: none is set.
 
         `longest`: the longest time that any request has, by the settings in force.
         """
         if self.stage is not Stage.STOPPING:
             return None
-        return self._since + ENDS_AFTER + min(longest, MOST_COUNTED) - LAST_ANSWERS
-
-    def rest(self, now: float) -> float | None:
+        return (
+            self._since
+            + KILL_DELAY_SECONDS
+            + min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS)
+            - LAST_ANSWER_MARGIN_SECONDS
+        )
+
+    def idle_timeout(self, now: float) -> float | None:
         """Seconds that a connection may be idle; None: as long as at other times."""
         if self.stage is Stage.SERVING:
             return None
-        return max(LEAST_REST, PATIENT - (now - self._since))
+        return max(MIN_IDLE_SECONDS, INITIAL_IDLE_SECONDS - (now - self._since))
--- a/whinrouter/operations/reload_checks.py
+++ b/whinrouter/operations/reload_checks.py
@@ -12,80 +12,80 @@
 from typing import Any
 
 # Lists that are data of their own, read by their own readers.
-_APART = ("known",)
+_SKIPPED_KEYS = ("known",)
 # Counts and times of the settings that mean nothing unless they are above 0, whatever was in force.
-_POSITIVE = {"classes": ("giveUp", "onTime"), "permissions": ("maxAttempts",)}
+_POSITIVE_KEYS = {"classes": ("giveUp", "onTime"), "permissions": ("maxAttempts",)}
 
 
-def findings(fresh: object, in_force: Mapping[str, Any]) -> list[str]:
+def findings(new: object, in_force: Mapping[str, Any]) -> list[str]:
     """All that is wrong with a new configuration, each with its key; none if it may be taken."""
-    if not isinstance(fresh, Mapping):
+    if not isinstance(new, Mapping):
         return ["it holds no object"]
-    return [*_missing("", fresh, in_force), *_settings(fresh.get("settings"))]
+    return [*_check_shape("", new, in_force), *_check_settings(new.get("settings"))]
 
 
-def _missing(at: str, fresh: object, old: object) -> Iterator[str]:
+def _check_shape(path: str, new: object, old: object) -> Iterator[str]:
     """What the old one has and the new one lacks, or has as something else."""
     if isinstance(old, Mapping):
-        if not isinstance(fresh, Mapping):
-            yield f"{at or 'it'} is no object"
+        if not isinstance(new, Mapping):
+            yield f"{path or 'it'} is no object"
             return
         for key, value in old.items():
-            if key in _APART:
+            if key in _SKIPPED_KEYS:
                 continue
-            if key not in fresh:
-                yield f"{at}{key} is missing"
+            if key not in new:
+                yield f"{path}{key} is missing"
             else:
-                yield from _missing(f"{at}{key}.", fresh[key], value)
+                yield from _check_shape(f"{path}{key}.", new[key], value)
     elif isinstance(old, list):
-        yield from _missing_in_list(at, fresh, old)
-    elif _sort(fresh) is not _sort(old):
-        yield f"{at.rstrip('.')} is no {_sort(old).__name__}"
+        yield from _check_list(path, new, old)
+    elif _kind(new) is not _kind(old):
+        yield f"{path.rstrip('.')} is no {_kind(old).__name__}"
 
 
-def _missing_in_list(at: str, fresh: object, old: list[Any]) -> Iterator[str]:
-    if not isinstance(fresh, list):
-        yield f"{at.rstrip('.')} is no list"
+def _check_list(path: str, new: object, old: list[Any]) -> Iterator[str]:
+    if not isinstance(new, list):
+        yield f"{path.rstrip('.')} is no list"
         return
     objects = [entry for entry in old if isinstance(entry, Mapping)]
     if not objects or len(objects) < len(old):
         return
-    shared = {key: objects[0][key] for key in objects[0] if all(key in entry for entry in objects)}
-    for place, entry in enumerate(fresh):
-        yield from _missing(f"{at}{place}.", entry, shared)
+    common = {key: objects[0][key] for key in objects[0] if all(key in entry for entry in objects)}
+    for index, entry in enumerate(new):
+        yield from _check_shape(f"{path}{index}.", entry, common)
 
 
-def _sort(value: object) -> type:
+def _kind(value: object) -> type:
     """The kind of a value; whole numbers and others are one."""
     return float if type(value) is int else type(value)
 
 
-def _settings(setup: object) -> Iterator[str]:
-    if not isinstance(setup, Mapping):
+def _check_settings(settings: object) -> Iterator[str]:
+    if not isinstance(settings, Mapping):
         return  # told already, or it is read as what it is
-    classes = setup.get("classes")
+    classes = settings.get("classes")
     if isinstance(classes, list):
-        yield from _classes(classes)
-    allowed = setup.get("permissions")
-    if isinstance(allowed, Mapping):
-        yield from _positive("settings.permissions", allowed, _POSITIVE["permissions"])
+        yield from _check_classes(classes)
+    permissions = settings.get("permissions")
+    if isinstance(permissions, Mapping):
+        yield from _check_positive("settings.permissions", permissions, _POSITIVE_KEYS["permissions"])
 
 
-def _classes(classes: list[Any]) -> Iterator[str]:
+def _check_classes(classes: list[Any]) -> Iterator[str]:
     if not classes:
         yield "settings.classes names no class"
     names = [entry.get("name") for entry in classes if isinstance(entry, Mapping)]
     for name in {name for name in names if isinstance(name, str) and names.count(name) > 1}:
         yield f"settings.classes names {name!r} twice"
-    for place, entry in enumerate(classes):
+    for index, entry in enumerate(classes):
         if isinstance(entry, Mapping):
             if not entry.get("name"):
-                yield f"settings.classes.{place} has no name"
-            yield from _positive(f"settings.classes.{place}", entry, _POSITIVE["classes"])
+                yield f"settings.classes.{index} has no name"
+            yield from _check_positive(f"settings.classes.{index}", entry, _POSITIVE_KEYS["classes"])
 
 
-def _positive(at: str, entry: Mapping[str, Any], keys: tuple[str, ...]) -> Iterator[str]:
+def _check_positive(path: str, entry: Mapping[str, Any], keys: tuple[str, ...]) -> Iterator[str]:
     for key in keys:
         value = entry.get(key)
         if value is not None and not (type(value) in (int, float) and value > 0):
-            yield f"{at}.{key} is no positive number"
+            yield f"{path}.{key} is no positive number"
--- a/whinrouter/operator/decode.py
+++ b/whinrouter/operator/decode.py
@@ -10,106 +10,112 @@
 
 import msgspec
 
-from whinrouter.operator.findings import Finding, Place
+from whinrouter.operator.findings import Finding, Location
 from whinrouter.operator.toml_lines import KeyPath
 
-Where = Callable[[KeyPath], Place]
+Locator = Callable[[KeyPath], Location]
 
 
-def read_value(kind: type, value: Any) -> Any:
+def parse_custom_type(target_type: type, value: Any) -> Any:
     """The decoder's hook for types that it does not know; they read themselves."""
-    read = getattr(kind, "read", None)
-    if read is None:
-        raise NotImplementedError(f"no type {kind!r} in a model")
-    return read(value)
+    parse = getattr(target_type, "parse", None)
+    if parse is None:
+        raise NotImplementedError(f"no type {target_type!r} in a model")
+    return parse(value)
 
 
-def decode(kind: type[Any], told: Any, where: Where, path: KeyPath = ()) -> tuple[Any, list[Finding]]:
+def decode(
+    struct_type: type[Any], raw: Any, locate: Locator, path: KeyPath = ()
+) -> tuple[Any, list[Finding]]:
     """A section of this type, and what is wrong with what was told.
 
     What is wrong keeps its default, so that the rest can be checked too; a model that comes with findings is
     never run.
     """
-    if not isinstance(told, Mapping):
-        return kind(), [
-            _finding(where, path, "type", "This is no table.", "Write it as [section] with keys.")
+    if not isinstance(raw, Mapping):
+        return struct_type(), [
+            _finding(locate, path, "type", "This is no table.", "Write it as [section] with keys.")
         ]
-    fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
-    findings = [_unknown(where, (*path, key), fields) for key in told if key not in fields]
+    fields = {field.encode_name: field for field in msgspec.structs.fields(struct_type)}
+    findings = [_unknown_key(locate, (*path, key), fields) for key in raw if key not in fields]
     values: dict[str, Any] = {}
     for name, field in fields.items():
-        if name not in told:
+        if name not in raw:
             if field.required:
-                findings.append(_missing(where, path, name))
+                findings.append(_missing_key(locate, path, name))
             continue
-        value, wrong = _value(field.type, told[name], where, (*path, name))
-        findings += wrong
+        value, problems = _decode_value(field.type, raw[name], locate, (*path, name))
+        findings += problems
         if value is not None:  # a section keeps what is right in it
             values[field.name] = value
     if any(field.required and field.name not in values for field in fields.values()):
         return None, findings
-    return kind(**values), findings
+    return struct_type(**values), findings
 
 
-def _value(kind: Any, told: Any, where: Where, path: KeyPath) -> tuple[Any, list[Finding]]:
-    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        return decode(kind, told, where, path)
-    inner = _listed_struct(kind)
-    if inner is not None:
-        return _list(inner, told, where, path)
-    if isinstance(told, float) and not math.isfinite(told):
-        return None, [_finding(where, path, "number", "This is no finite number.", "Write a plain number.")]
+def _decode_value(target_type: Any, raw: Any, locate: Locator, path: KeyPath) -> tuple[Any, list[Finding]]:
+    if isinstance(target_type, type) and issubclass(target_type, msgspec.Struct):
+        return decode(target_type, raw, locate, path)
+    element_type = _struct_element_type(target_type)
+    if element_type is not None:
+        return _decode_list(element_type, raw, locate, path)
+    if isinstance(raw, float) and not math.isfinite(raw):
+        return None, [_finding(locate, path, "number", "This is no finite number.", "Write a plain number.")]
     try:
-        return msgspec.convert(told, kind, strict=True, dec_hook=read_value), []
+        return msgspec.convert(raw, target_type, strict=True, dec_hook=parse_custom_type), []
     except msgspec.ValidationError as error:
-        return None, [_finding(where, path, "value", f"{_sentence(str(error))}", _todo(kind))]
+        return None, [
+            _finding(locate, path, "value", f"{_as_sentence(str(error))}", _expected_form(target_type))
+        ]
 
 
-def _listed_struct(kind: Any) -> type[Any] | None:
-    (inner,) = get_args(kind) if get_origin(kind) is list else (None,)
-    return inner if isinstance(inner, type) and issubclass(inner, msgspec.Struct) else None
+def _struct_element_type(target_type: Any) -> type[Any] | None:
+    (element,) = get_args(target_type) if get_origin(target_type) is list else (None,)
+    return element if isinstance(element, type) and issubclass(element, msgspec.Struct) else None
 
 
-def _list(inner: type[Any], told: Any, where: Where, path: KeyPath) -> tuple[Any, list[Finding]]:
-    if not isinstance(told, list):
+def _decode_list(
+    element_type: type[Any], raw: Any, locate: Locator, path: KeyPath
+) -> tuple[Any, list[Finding]]:
+    if not isinstance(raw, list):
         todo = f"Write it as [[{path[-1]}]]."
-        return None, [_finding(where, path, "type", "This is no list of tables.", todo)]
+        return None, [_finding(locate, path, "type", "This is no list of tables.", todo)]
     values, findings = [], []
-    for place, entry in enumerate(told):
-        value, wrong = decode(inner, entry, where, (*path, place))
-        findings += wrong
+    for index, entry in enumerate(raw):
+        value, problems = decode(element_type, entry, locate, (*path, index))
+        findings += problems
         if value is not None:
             values.append(value)
     return values, findings
 
 
-def _finding(where: Where, path: KeyPath, code: str, reason: str, todo: str) -> Finding:
-    return Finding(where(path), shown(path), code, reason, todo)
+def _finding(locate: Locator, path: KeyPath, code: str, reason: str, todo: str) -> Finding:
+    return Finding(locate(path), format_key_path(path), code, reason, todo)
 
 
-def _unknown(where: Where, path: KeyPath, known: Mapping[str, object]) -> Finding:
-    near = difflib.get_close_matches(str(path[-1]), known, 1)
-    todo = f"Did you mean {near[0]!r}?" if near else f"Known here: {', '.join(sorted(known))}."
-    return _finding(where, path, "unknown-key", f"There is no key {path[-1]!r} here.", todo)
+def _unknown_key(locate: Locator, path: KeyPath, known: Mapping[str, object]) -> Finding:
+    matches = difflib.get_close_matches(str(path[-1]), known, 1)
+    todo = f"Did you mean {matches[0]!r}?" if matches else f"Known here: {', '.join(sorted(known))}."
+    return _finding(locate, path, "unknown-key", f"There is no key {path[-1]!r} here.", todo)
 
 
-def _missing(where: Where, path: KeyPath, name: str) -> Finding:
+def _missing_key(locate: Locator, path: KeyPath, name: str) -> Finding:
     reason = f"The key {name!r} is missing."
-    return Finding(where(path), shown((*path, name)), "missing", reason, "Add it.")
+    return Finding(locate(path), format_key_path((*path, name)), "missing", reason, "Add it.")
 
 
-def _sentence(text: str) -> str:
-    text = text.split(" - at `$", 1)[0].rstrip(".")
-    return text[:1].upper() + text[1:] + "."
+def _as_sentence(message: str) -> str:
+    message = message.split(" - at `$", 1)[0].rstrip(".")
+    return message[:1].upper() + message[1:] + "."
 
 
-def _todo(kind: Any) -> str:
-    if isinstance(kind, type) and issubclass(kind, Enum):
-        return f"Write one of {', '.join(repr(member.value) for member in kind)}."
+def _expected_form(target_type: Any) -> str:
+    if isinstance(target_type, type) and issubclass(target_type, Enum):
+        return f"Write one of {', '.join(repr(member.value) for member in target_type)}."
     return "Write a value of that form."
 
 
-def shown(path: KeyPath) -> str:
+def format_key_path(path: KeyPath) -> str:
     """A key path as people write it: "class[2].effect"."""
     text = ""
     for part in path:
--- a/whinrouter/operator/explain.py
+++ b/whinrouter/operator/explain.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from whinrouter.operator.checks import methods_of, path_of
+from whinrouter.operator.checks import effective_methods, effective_path
 from whinrouter.operator.loading import Loaded, Setting
 from whinrouter.operator.model import RequestClass
 
 # What a running sidecar takes over when it reads its file again; all else waits for the next start.
-RELOADED = (
+RELOADABLE_KEYS = (
     "discovery.hosts",
     "discovery.file",
     "discovery.address",
@@ -27,11 +27,11 @@
     "upstream.idle_time",
     "upstream.retry_after",
 )
-RELOADED_TABLES = ("class.", "class_defaults.")
+RELOADABLE_PREFIXES = ("class.", "class_defaults.")
 
 
 @dataclass(frozen=True, slots=True)
-class Effective:
+class EffectiveValue:
     """One value in force."""
 
     key: str
@@ -39,42 +39,48 @@
     origin: str  # a file and line, or "default"
 
 
-def effective(loaded: Loaded) -> list[Effective]:
+def effective_values(loaded: Loaded) -> list[EffectiveValue]:
     """All values in force, in the order of the model."""
-    return list(_section(loaded, loaded.model, (), ""))
+    return list(_section_values(loaded, loaded.model, (), ""))
 
 
-def _section(loaded: Loaded, section: Any, path: tuple[str | int, ...], key: str) -> Iterator[Effective]:
+def _section_values(
+    loaded: Loaded, section: Any, path: tuple[str | int, ...], key: str
+) -> Iterator[EffectiveValue]:
     for field in msgspec.structs.fields(section):
         name = field.encode_name
         if not path and name == "class_defaults":
             continue  # they are in each class
         value = getattr(section, field.name)
-        here, shown = (*path, name), f"{key}.{name}" if key else name
+        field_path, field_key = (*path, name), f"{key}.{name}" if key else name
         if isinstance(value, msgspec.Struct):
-            yield from _section(loaded, value, here, shown)
+            yield from _section_values(loaded, value, field_path, field_key)
         elif value and isinstance(value, list) and isinstance(value[0], msgspec.Struct):
-            for place, inner in enumerate(value):
-                yield from _section(loaded, inner, (*here, place), f"{shown}.{inner.name}")
+            for index, entry in enumerate(value):
+                yield from _section_values(loaded, entry, (*field_path, index), f"{field_key}.{entry.name}")
         else:
-            yield Effective(shown, text(_meant(section, field.name, value)), _origin(loaded, here))
+            yield EffectiveValue(
+                field_key,
+                format_value(_resolve_default(section, field.name, value)),
+                _origin(loaded, field_path),
+            )
 
 
-def _meant(section: Any, name: str, value: Any) -> Any:
+def _resolve_default(section: Any, name: str, value: Any) -> Any:
     """What a class means where it says nothing."""
     if isinstance(section, RequestClass) and name in ("path", "methods"):
-        return path_of(section) if name == "path" else methods_of(section)
+        return effective_path(section) if name == "path" else effective_methods(section)
     return value
 
 
-def text(value: Any) -> str:
+def format_value(value: Any) -> str:
     """A value as it would be written in a file."""
     if isinstance(value, Enum):
         return f'"{value.value}"'
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, list):
-        return f"[{', '.join(map(text, value))}]"
+        return f"[{', '.join(map(format_value, value))}]"
     if type(value) in (int, float):
         return str(value)
     return '""' if value is None else json.dumps(str(value), ensure_ascii=False)
@@ -87,7 +93,7 @@
             node = node[part]
         except (KeyError, IndexError, TypeError):
             return "default"
-    return str(node.place) if isinstance(node, Setting) else "default"
+    return str(node.location) if isinstance(node, Setting) else "default"
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,25 +103,25 @@
     key: str
     old: str | None  # None: it was not there
     new: str | None
-    restart: bool
+    needs_restart: bool
 
     def __str__(self) -> str:
         old, new = self.old or "(none)", self.new or "(none)"
-        return f"{self.key}: {old} -> {new}{' (needs a restart)' if self.restart else ''}"
+        return f"{self.key}: {old} -> {new}{' (needs a restart)' if self.needs_restart else ''}"
 
 
-def reloaded(key: str) -> bool:
+def is_reloadable(key: str) -> bool:
     """Whether a sidecar takes another value of it while it runs, on SIGHUP."""
-    return key in RELOADED or key.startswith(RELOADED_TABLES)
+    return key in RELOADABLE_KEYS or key.startswith(RELOADABLE_PREFIXES)
 
 
 def changes(old: Loaded, new: Loaded) -> list[Change]:
     """What differs in behaviour; how it is spread over files does not count."""
-    before = {one.key: one.value for one in effective(old)}
-    after = {one.key: one.value for one in effective(new)}
+    before = {entry.key: entry.value for entry in effective_values(old)}
+    after = {entry.key: entry.value for entry in effective_values(new)}
     keys = [*before, *(key for key in after if key not in before)]
     return [
-        Change(key, before.get(key), after.get(key), not reloaded(key))
+        Change(key, before.get(key), after.get(key), not is_reloadable(key))
         for key in keys
         if before.get(key) != after.get(key)
     ]
--- a/whinrouter/operator/findings.py
+++ b/whinrouter/operator/findings.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
+class Location:
     """A line of a file; line 0 is the file as a whole."""
 
     file: str
@@ -21,7 +21,7 @@
 class Finding:
     """One thing that is wrong. `code` is stable and what machines go by; the texts may be reworded."""
 
-    place: Place
+    location: Location
     key: str  # the path of the key, as "class.chapter-buy.effect"; empty for a file as a whole
     code: str
     reason: str  # one sentence
@@ -29,13 +29,13 @@
 
     def __str__(self) -> str:
         key = f" {self.key}" if self.key else ""
-        return f"{self.place}:{key} [{self.code}] {self.reason} {self.todo}"
+        return f"{self.location}:{key} [{self.code}] {self.reason} {self.todo}"
 
-    def plain(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """For JSON."""
         return {
-            "file": self.place.file,
-            "line": self.place.line,
+            "file": self.location.file,
+            "line": self.location.line,
             "key": self.key,
             "code": self.code,
             "reason": self.reason,
--- a/whinrouter/operator/host.py
+++ b/whinrouter/operator/host.py
@@ -7,124 +7,136 @@
 from pathlib import Path
 
 from whinrouter.operator.checks import check
-from whinrouter.operator.findings import Finding, Place
-from whinrouter.operator.loading import CATALOGUE, Loaded, load
+from whinrouter.operator.findings import Finding, Location
+from whinrouter.operator.loading import CATALOGUE_FILE, Loaded, load
 from whinrouter.operator.values import Address, overlap
 
-PART = ".local.toml"  # a team's own edits: never a configuration by themselves
-MOST_FOUND = 10_000  # files below one folder; a host has some hundred
+LOCAL_SUFFIX = ".local.toml"  # a team's own edits: never a configuration by themselves
+MAX_TOML_FILES = 10_000  # files below one folder; a host has some hundred
 
 
-def configurations(folder: Path) -> tuple[list[Loaded], list[Finding]]:
+def load_configurations(folder: Path) -> tuple[list[Loaded], list[Finding]]:
     """What no other file below a folder includes: its configurations; and what is wrong with the folder."""
-    found, findings = _toml_files(folder)
-    loads: dict[str, Loaded] = {}  # by real path
-    for path in found:
+    paths, findings = _toml_files(folder)
+    loaded_by_path: dict[str, Loaded] = {}  # by real path
+    for path in paths:
         loaded = load(path)
-        if path.name == CATALOGUE:
-            findings += _stray(path, loaded.root)
+        if path.name == CATALOGUE_FILE:
+            findings += _check_stray_catalogue(path, loaded.root)
         else:
-            loads.setdefault(os.path.realpath(path), loaded)
-    parts = {real for own, loaded in loads.items() for real in loaded.named if real != own}
-    parts |= {real for real in loads if real.endswith(PART)}
-    tops = [real for real in loads if real not in parts]
+            loaded_by_path.setdefault(os.path.realpath(path), loaded)
+    included = {
+        real_path
+        for own_path, loaded in loaded_by_path.items()
+        for real_path in loaded.referenced
+        if real_path != own_path
+    }
+    included |= {real_path for real_path in loaded_by_path if real_path.endswith(LOCAL_SUFFIX)}
+    top_files = [real_path for real_path in loaded_by_path if real_path not in included]
     # Files that include each other in a ring are in no top's reach, and would go unseen.
-    reached = {real for top in tops for real in loads[top].named}
-    for real, loaded in loads.items():
-        if real not in reached and not real.endswith(PART):
-            tops.append(real)
-            reached |= loaded.named | {real}
-    return [loads[real] for real in sorted(tops)], findings
+    reached = {real_path for top_file in top_files for real_path in loaded_by_path[top_file].referenced}
+    for real_path, loaded in loaded_by_path.items():
+        if real_path not in reached and not real_path.endswith(LOCAL_SUFFIX):
+            top_files.append(real_path)
+            reached |= loaded.referenced | {real_path}
+    return [loaded_by_path[real_path] for real_path in sorted(top_files)], findings
 
 
 def _toml_files(folder: Path) -> tuple[list[Path], list[Finding]]:
-    found: list[Path] = []
+    paths: list[Path] = []
     for base, folders, names in os.walk(folder):
         folders.sort()
-        found += [Path(base, name) for name in sorted(names) if name.endswith(".toml") and name[0] != "."]
-        if len(found) > MOST_FOUND:
-            reason = f"There are more than {MOST_FOUND} files below it."
-            return found[:MOST_FOUND], [
-                Finding(Place(str(folder)), "", "too-many", reason, "Name a host's folder.")
+        paths += [Path(base, name) for name in sorted(names) if name.endswith(".toml") and name[0] != "."]
+        if len(paths) > MAX_TOML_FILES:
+            reason = f"There are more than {MAX_TOML_FILES} files below it."
+            return paths[:MAX_TOML_FILES], [
+                Finding(Location(str(folder)), "", "too-many", reason, "Name a host's folder.")
             ]
-    return found, []
+    return paths, []
 
 
-def _stray(path: Path, root: str) -> list[Finding]:
+def _check_stray_catalogue(path: Path, root: str) -> list[Finding]:
     if os.path.realpath(path.parent) == os.path.realpath(root):
         return []
     reason = f"Only the catalogue in {root} counts; this one declares nothing."
-    return [Finding(Place(str(path)), "", "stray-catalogue", reason, "Take it out.")]
+    return [Finding(Location(str(path)), "", "stray-catalogue", reason, "Take it out.")]
 
 
-def check_host(loads: Iterable[Loaded]) -> list[Finding]:
+def check_host(configurations: Iterable[Loaded]) -> list[Finding]:
     """All findings on each of them and on all together."""
-    loads = list(loads)
-    findings = {finding for loaded in loads for finding in check(loaded)}
-    return sorted(findings | set(_together(loads)))
+    configurations = list(configurations)
+    findings = {finding for loaded in configurations for finding in check(loaded)}
+    return sorted(findings | set(_check_together(configurations)))
 
 
-def _together(loads: list[Loaded]) -> list[Finding]:
-    listening = [(loaded, _real(loaded.model.listen.address)) for loaded in loads]
-    known = [(loaded, address) for loaded, address in listening if address is not None]
+def _check_together(configurations: list[Loaded]) -> list[Finding]:
+    addresses = [(loaded, _resolve_links(loaded.model.listen.address)) for loaded in configurations]
+    listening = [(loaded, address) for loaded, address in addresses if address is not None]
     by_port: dict[int | str, list[tuple[Loaded, Address]]] = {}
-    for loaded, address in known:
+    for loaded, address in listening:
         by_port.setdefault(address.path or address.port, []).append((loaded, address))
-    calls = _calls(loads, by_port)
+    control_findings = _check_control_addresses(configurations, by_port)
     return [
-        *_same_port(by_port),
-        *calls,
-        *_app_ports(loads, by_port),
-        *_same_app(loads),
-        *_loops(by_port, known),
+        *_check_listen_addresses(by_port),
+        *control_findings,
+        *_check_app_ports(configurations, by_port),
+        *_check_app_names(configurations),
+        *_check_loops(by_port, listening),
     ]
 
 
-def _calls(loads: list[Loaded], by_port: Mapping[int | str, list[tuple[Loaded, Address]]]) -> list[Finding]:
+def _check_control_addresses(
+    configurations: list[Loaded], by_port: Mapping[int | str, list[tuple[Loaded, Address]]]
+) -> list[Finding]:
     """Addresses for calls that another sidecar takes, for calls or for its application."""
     findings = []
     seen: dict[int, list[tuple[Loaded, Address]]] = {}
-    for loaded in loads:
+    for loaded in configurations:
         address = loaded.model.listen.control
         if address is None or address.path:
             continue
         claims = [*by_port.get(address.port, ()), *seen.get(address.port, ())]
-        first = next((who for who, known in claims if who is not loaded and overlap(known, address)), None)
+        first = next(
+            (other for other, claimed in claims if other is not loaded and overlap(claimed, address)), None
+        )
         if first is not None:
-            place, reason = loaded.place(("listen", "control")), f"{address} is claimed by {first.path} too."
+            location, reason = (
+                loaded.locate(("listen", "control")),
+                f"{address} is claimed by {first.path} too.",
+            )
             todo = "Give each its own."
-            findings.append(Finding(place, "listen.control", "same-port", reason, todo))
+            findings.append(Finding(location, "listen.control", "same-port", reason, todo))
         seen.setdefault(address.port, []).append((loaded, address))
     return findings
 
 
-def _real(address: Address | None) -> Address | None:
+def _resolve_links(address: Address | None) -> Address | None:
     """The address with a socket's folder as it really is; the socket itself may be a link too."""
     return Address(path=os.path.realpath(address.path)) if address and address.path else address
 
 
 def _listen_finding(loaded: Loaded, code: str, reason: str, todo: str) -> Finding:
-    return Finding(loaded.place(("listen", "address")), "listen.address", code, reason, todo)
+    return Finding(loaded.locate(("listen", "address")), "listen.address", code, reason, todo)
 
 
-def _same_port(by_port: Mapping[int | str, list[tuple[Loaded, Address]]]) -> list[Finding]:
+def _check_listen_addresses(by_port: Mapping[int | str, list[tuple[Loaded, Address]]]) -> list[Finding]:
     findings = []
     for claims in by_port.values():
-        for at, (loaded, address) in enumerate(claims):
+        for index, (loaded, address) in enumerate(claims):
             # One earlier claim is enough to name; all pairs of a crowd would be a square of it.
-            first = next((other for other, known in claims[:at] if overlap(known, address)), None)
+            first = next((other for other, claimed in claims[:index] if overlap(claimed, address)), None)
             if first is not None:
-                place = first.place(("listen", "address"))
-                reason = f"{address} is claimed by {place} too, where it is {first.model.listen.address}."
+                location = first.locate(("listen", "address"))
+                reason = f"{address} is claimed by {location} too, where it is {first.model.listen.address}."
                 findings.append(_listen_finding(loaded, "same-port", reason, "Give each sidecar its own."))
     return findings
 
 
-def _app_ports(
-    loads: list[Loaded], by_port: Mapping[int | str, list[tuple[Loaded, Address]]]
+def _check_app_ports(
+    configurations: list[Loaded], by_port: Mapping[int | str, list[tuple[Loaded, Address]]]
 ) -> list[Finding]:
     findings = []
-    for loaded in loads:
+    for loaded in configurations:
         for port in loaded.model.app.ports:
             for other, _ in by_port.get(port, ()):
                 if other is not loaded:  # its own is said in the check of one file
@@ -133,81 +145,81 @@
     return findings
 
 
-def _same_app(loads: list[Loaded]) -> list[Finding]:
+def _check_app_names(configurations: list[Loaded]) -> list[Finding]:
     findings = []
     seen: dict[str, Loaded] = {}
-    for loaded in loads:
+    for loaded in configurations:
         name = loaded.model.app.name
         if name and name in seen:
             reason = f"The application {name!r} has a sidecar already, by {seen[name].path}."
-            place = loaded.place(("app", "name"))
-            findings.append(Finding(place, "app.name", "same-app", reason, "Give each its own name."))
+            location = loaded.locate(("app", "name"))
+            findings.append(Finding(location, "app.name", "same-app", reason, "Give each its own name."))
         elif name:
             seen[name] = loaded
     return findings
 
 
-def _loops(
-    by_port: Mapping[int | str, list[tuple[Loaded, Address]]], known: list[tuple[Loaded, Address]]
+def _check_loops(
+    by_port: Mapping[int | str, list[tuple[Loaded, Address]]], listening: list[tuple[Loaded, Address]]
 ) -> list[Finding]:
     """Sidecars that send to each other, in a ring of any length."""
-    places = {id(loaded): at for at, (loaded, _) in enumerate(known)}
-    sends = [
+    index_by_id = {id(loaded): index for index, (loaded, _) in enumerate(listening)}
+    edges = [
         sorted(
             {
-                places[id(other)]
+                index_by_id[id(other)]
                 for host in loaded.model.discovery.hosts
                 if not host.path
                 for other, address in by_port.get(host.port, ())
                 if other is not loaded and overlap(address, host)
             }
         )
-        for loaded, _ in known
+        for loaded, _ in listening
     ]
     findings = []
-    for ring in _rings(sends):
-        names = ", ".join(known[at][0].path for at in ring)
-        for at in ring:
-            loaded = known[at][0]
+    for component in _strongly_connected_components(edges):
+        names = ", ".join(listening[index][0].path for index in component)
+        for index in component:
+            loaded = listening[index][0]
             reason = f"These sidecars send to each other, and a request may go round for ever: {names}."
-            place = loaded.place(("discovery", "hosts"))
+            location = loaded.locate(("discovery", "hosts"))
             findings.append(
-                Finding(place, "discovery.hosts", "loop", reason, "Take the sidecars out of the hosts.")
+                Finding(location, "discovery.hosts", "loop", reason, "Take the sidecars out of the hosts.")
             )
     return findings
 
 
-def _rings(sends: list[list[int]]) -> list[list[int]]:
+def _strongly_connected_components(edges: list[list[int]]) -> list[list[int]]:
     """The strongly connected parts of more than one (Kosaraju's two passes, without recursion)."""
-    order: list[int] = []
-    seen: set[int] = set()
-    for start in range(len(sends)):
-        stack = [(start, iter(sends[start]))] if start not in seen else []
-        seen.add(start)
+    finish_order: list[int] = []
+    visited: set[int] = set()
+    for start in range(len(edges)):
+        stack = [(start, iter(edges[start]))] if start not in visited else []
+        visited.add(start)
         while stack:
-            at, rest = stack[-1]
-            following = next((other for other in rest if other not in seen), None)
-            if following is None:
-                order.append(at)
+            node, successors = stack[-1]
+            unvisited = next((other for other in successors if other not in visited), None)
+            if unvisited is None:
+                finish_order.append(node)
                 stack.pop()
             else:
-                seen.add(following)
-                stack.append((following, iter(sends[following])))
-    back: list[list[int]] = [[] for _ in sends]
-    for at, others in enumerate(sends):
+                visited.add(unvisited)
+                stack.append((unvisited, iter(edges[unvisited])))
+    predecessors: list[list[int]] = [[] for _ in edges]
+    for node, others in enumerate(edges):
         for other in others:
-            back[other].append(at)
-    rings: list[list[int]] = []
-    taken: set[int] = set()
-    for start in reversed(order):
-        ring, waiting = [], [start] if start not in taken else []
-        taken.add(start)
-        while waiting:
-            at = waiting.pop()
-            ring.append(at)
-            fresh = [other for other in back[at] if other not in taken]
-            taken.update(fresh)
-            waiting += fresh
-        if len(ring) > 1:
-            rings.append(sorted(ring))
-    return rings
+            predecessors[other].append(node)
+    components: list[list[int]] = []
+    assigned: set[int] = set()
+    for start in reversed(finish_order):
+        component, pending = [], [start] if start not in assigned else []
+        assigned.add(start)
+        while pending:
+            node = pending.pop()
+            component.append(node)
+            unassigned = [other for other in predecessors[node] if other not in assigned]
+            assigned.update(unassigned)
+            pending += unassigned
+        if len(component) > 1:
+            components.append(sorted(component))
+    return components
--- a/whinrouter/operator/loading.py
+++ b/whinrouter/operator/loading.py
@@ -16,15 +16,15 @@
 from typing import Any
 
 from whinrouter.operator.decode import decode
-from whinrouter.operator.findings import Finding, Place
+from whinrouter.operator.findings import Finding, Location
 from whinrouter.operator.model import Catalogue, Model
 from whinrouter.operator.toml_lines import KeyPath, key_lines
 
-MOST_BYTES = 1024 * 1024  # of one file: a hundred times what anyone writes
-MOST_FILES = 64  # that one configuration includes, itself counted
-MOST_DEPTH = 8  # of includes within includes
-MOST_NESTING = 16  # of tables and lists; decoding recurses
-CATALOGUE = "catalogue.toml"  # in the configuration root
+MAX_FILE_BYTES = 1024 * 1024  # of one file: a hundred times what anyone writes
+MAX_FILES = 64  # that one configuration includes, itself counted
+MAX_INCLUDE_DEPTH = 8  # of includes within includes
+MAX_NESTING = 16  # of tables and lists; decoding recurses
+CATALOGUE_FILE = "catalogue.toml"  # in the configuration root
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     """A value and where it stands; tables hold settings in turn."""
 
     value: Any
-    place: Place
+    location: Location
 
 
 Tree = dict[str, Any]  # of Tree, list of Tree, and Setting
@@ -49,198 +49,214 @@
     findings: list[Finding] = field(default_factory=list)
     tree: Tree = field(default_factory=dict)
     files: dict[str, bytes] = field(default_factory=dict)  # each that was read, in the order of reading
-    named: set[str] = field(default_factory=set)  # the real paths of all that were to be read
-    whole: bool = True  # all that it includes could be read; else what is missing says nothing
+    referenced: set[str] = field(default_factory=set)  # the real paths of all that were to be read
+    is_complete: bool = True  # all that it includes could be read; else what is missing says nothing
 
     @property
     def digest(self) -> str:
         """Of all that was read; two of the same digest run the same."""
-        whole = hashlib.sha256()
+        digest = hashlib.sha256()
         for name in sorted(self.files):
             data = self.files[name]
-            whole.update(f"{len(name)} {name} {len(data)} ".encode() + data)
-        return whole.hexdigest()
+            digest.update(f"{len(name)} {name} {len(data)} ".encode() + data)
+        return digest.hexdigest()
 
-    def place(self, path: KeyPath) -> Place:
+    def locate(self, path: KeyPath) -> Location:
         """Where a key of the merged tree stands, or the nearest table above it that stands anywhere."""
         node: Any = self.tree
-        place = Place(self.path)
+        location = Location(self.path)
         for part in path:
             try:
                 node = node[part]
             except (KeyError, IndexError, TypeError):
                 break
-            place = _first_place(node) or place
+            location = _first_location(node) or location
             if isinstance(node, Setting):
                 break
-        return place
+        return location
 
 
-def _first_place(node: Any) -> Place | None:
+def _first_location(node: Any) -> Location | None:
     if isinstance(node, Setting):
-        return node.place
-    if isinstance(node, dict) and isinstance(node.get(_HEADER), Setting):
-        header: Setting = node[_HEADER]
-        return header.place
-    inner = node.values() if isinstance(node, dict) else node
-    return next((place for place in map(_first_place, inner) if place), None)
+        return node.location
+    if isinstance(node, dict) and isinstance(node.get(_HEADER_KEY), Setting):
+        header: Setting = node[_HEADER_KEY]
+        return header.location
+    children = node.values() if isinstance(node, dict) else node
+    return next((location for location in map(_first_location, children) if location), None)
 
 
-DEFAULTS = "class_defaults"
-_OWN = frozenset(("name", "path", "like"))  # what a class has from nobody
-_HEADER = "\0"  # where a table's own line is kept among its keys; no key of a file has this name
+CLASS_DEFAULTS = "class_defaults"
+_NOT_INHERITED = frozenset(("name", "path", "like"))  # what a class has from nobody
+_HEADER_KEY = "\0"  # where a table's own line is kept among its keys; no key of a file has this name
 
 
 # Findings of the reading after which all of the configuration is there all the same.
-_STILL_WHOLE = frozenset(("double-class", "include-cycle", "like-cycle", "like-unknown"))
+_COMPLETE_DESPITE = frozenset(("double-class", "include-cycle", "like-cycle", "like-unknown"))
 
 
 class _Loader:
-    def __init__(self, path: Path, root: Path, instead: Mapping[str, bytes]) -> None:
+    def __init__(self, path: Path, root: Path, replacements: Mapping[str, bytes]) -> None:
         self.root = root
-        self._instead = instead
+        self._replacements = replacements
         self.loaded = Loaded(str(path), str(root))
-        self._done: dict[str, Tree] = {}
+        self._tree_by_file: dict[str, Tree] = {}
 
-    def add(self, place: Place, key: str, code: str, reason: str, todo: str) -> None:
-        self.loaded.whole = self.loaded.whole and code in _STILL_WHOLE
-        self.loaded.findings.append(Finding(place, key, code, reason, todo))
+    def add_finding(self, location: Location, key: str, code: str, reason: str, todo: str) -> None:
+        self.loaded.is_complete = self.loaded.is_complete and code in _COMPLETE_DESPITE
+        self.loaded.findings.append(Finding(location, key, code, reason, todo))
 
-    def read(self, path: Path, place: Place, chain: tuple[str, ...]) -> Tree:
+    def read(self, path: Path, location: Location, chain: tuple[str, ...]) -> Tree:
         """The settings of a file with those of what it includes; `place` is where it was named."""
-        real = os.path.realpath(path)
-        self.loaded.named.add(real)
-        if real in chain:
-            names = " -> ".join(Path(name).name for name in (*chain[chain.index(real) :], real))
-            self.add(
-                place, "include", "include-cycle", f"The files include each other: {names}.", "Break it."
+        real_path = os.path.realpath(path)
+        self.loaded.referenced.add(real_path)
+        if real_path in chain:
+            names = " -> ".join(Path(name).name for name in (*chain[chain.index(real_path) :], real_path))
+            self.add_finding(
+                location, "include", "include-cycle", f"The files include each other: {names}.", "Break it."
             )
             return {}
-        if real in self._done:
-            return self._done[real]
-        if not _within(real, self.root):
+        if real_path in self._tree_by_file:
+            return self._tree_by_file[real_path]
+        if not _is_within(real_path, self.root):
             reason = f"{path} leads out of the configuration root {self.root}."
-            self.add(place, "include", "outside-root", reason, "Keep all files under the root.")
+            self.add_finding(location, "include", "outside-root", reason, "Keep all files under the root.")
             return {}
-        if len(chain) >= MOST_DEPTH or len(self.loaded.files) >= MOST_FILES:
-            reason = f"Includes go deeper than {MOST_DEPTH} files or name more than {MOST_FILES}."
-            self.add(place, "include", "include-depth", reason, "Include fewer files, less deeply.")
+        if len(chain) >= MAX_INCLUDE_DEPTH or len(self.loaded.files) >= MAX_FILES:
+            reason = f"Includes go deeper than {MAX_INCLUDE_DEPTH} files or name more than {MAX_FILES}."
+            self.add_finding(
+                location, "include", "include-depth", reason, "Include fewer files, less deeply."
+            )
             return {}
-        told = self.decoded(path, real, place)
-        if told is None:
+        decoded = self.decode_file(path, real_path, location)
+        if decoded is None:
             return {}
-        tree = self._with_includes(path, told, (*chain, real))
-        self._done[real] = tree
+        tree = self._merge_includes(path, decoded, (*chain, real_path))
+        self._tree_by_file[real_path] = tree
         return tree
 
-    def decoded(
-        self, path: Path, real: str, place: Place
+    def decode_file(
+        self, path: Path, real_path: str, location: Location
     ) -> tuple[dict[str, Any], dict[KeyPath, int]] | None:
         try:
-            data = self._instead[real] if real in self._instead else read_bounded(real)
-            text = checked_text(data)
+            data = (
+                self._replacements[real_path] if real_path in self._replacements else read_bounded(real_path)
+            )
+            text = decode_text(data)
         except _UnreadableError as error:
-            at = place if error.code == "unreadable" and place.line else Place(str(path), error.line)
-            self.add(at, "", error.code, error.reason, error.todo)
+            error_location = (
+                location if error.code == "unreadable" and location.line else Location(str(path), error.line)
+            )
+            self.add_finding(error_location, "", error.code, error.reason, error.todo)
             return None
         self.loaded.files[str(path)] = data
         try:
-            told = tomllib.loads(text)
+            values = tomllib.loads(text)
         except (tomllib.TOMLDecodeError, RecursionError, ValueError) as error:
             line = _error_line(str(error), text)
             reason = f"This is not TOML: {str(error).split(' (at ')[0]}."
-            self.add(Place(str(path), line), "", "syntax", reason, "Mend the line.")
+            self.add_finding(Location(str(path), line), "", "syntax", reason, "Mend the line.")
             return None
-        if _nesting(told) > MOST_NESTING:
-            reason = f"Tables or lists are nested more than {MOST_NESTING} deep."
-            self.add(Place(str(path)), "", "nesting", reason, "No key needs that.")
+        if _nesting_depth(values) > MAX_NESTING:
+            reason = f"Tables or lists are nested more than {MAX_NESTING} deep."
+            self.add_finding(Location(str(path)), "", "nesting", reason, "No key needs that.")
             return None
-        return told, key_lines(text)
+        return values, key_lines(text)
 
-    def _with_includes(
-        self, path: Path, told: tuple[dict[str, Any], dict[KeyPath, int]], chain: tuple[str, ...]
+    def _merge_includes(
+        self, path: Path, decoded: tuple[dict[str, Any], dict[KeyPath, int]], chain: tuple[str, ...]
     ) -> Tree:
-        values, lines = told
-        named = values.pop("include", [])
-        if not isinstance(named, list) or not all(isinstance(name, str) for name in named):
-            place = Place(str(path), lines.get(("include",), 0))
-            self.add(place, "include", "type", "This is no list of file names.", 'Write include = ["name"].')
-            named = [name for name in named if isinstance(name, str)] if isinstance(named, list) else []
+        values, lines = decoded
+        includes = values.pop("include", [])
+        if not isinstance(includes, list) or not all(isinstance(name, str) for name in includes):
+            location = Location(str(path), lines.get(("include",), 0))
+            self.add_finding(
+                location, "include", "type", "This is no list of file names.", 'Write include = ["name"].'
+            )
+            includes = (
+                [name for name in includes if isinstance(name, str)] if isinstance(includes, list) else []
+            )
         merged: Tree = {}
-        for number, name in enumerate(named):
-            place = Place(str(path), lines.get(("include", number), 0))
+        for index, name in enumerate(includes):
+            location = Location(str(path), lines.get(("include", index), 0))
             if "\0" in name:
-                self.add(place, "include", "unreadable", "The name holds a NUL byte.", "Name a file.")
+                self.add_finding(
+                    location, "include", "unreadable", "The name holds a NUL byte.", "Name a file."
+                )
                 continue
-            merged = merge(merged, self.read(path.parent / name, place, chain))
-        own: Tree = self._placed(values, lines, str(path), ())
-        self._double_classes(own)
-        return merge(merged, own)
+            merged = merge(merged, self.read(path.parent / name, location, chain))
+        own_settings: Tree = self._with_locations(values, lines, str(path), ())
+        self._check_duplicate_classes(own_settings)
+        return merge(merged, own_settings)
 
-    def _placed(self, value: Any, lines: dict[KeyPath, int], file: str, path: KeyPath) -> Any:
-        place = Place(file, lines.get(path, 0))
+    def _with_locations(self, value: Any, lines: dict[KeyPath, int], file: str, path: KeyPath) -> Any:
+        location = Location(file, lines.get(path, 0))
         if isinstance(value, dict):
-            inner = {key: self._placed(entry, lines, file, (*path, key)) for key, entry in value.items()}
-            return {_HEADER: Setting(None, place), **inner} if path else inner
+            children = {
+                key: self._with_locations(entry, lines, file, (*path, key)) for key, entry in value.items()
+            }
+            return {_HEADER_KEY: Setting(None, location), **children} if path else children
         if isinstance(value, list) and value and all(isinstance(entry, dict) for entry in value):
-            return [self._placed(entry, lines, file, (*path, at)) for at, entry in enumerate(value)]
-        return Setting(value, place)
-
-    def _double_classes(self, tree: Tree) -> None:
-        seen: dict[str, Place] = {}
-        for entry in _entries(tree):
-            name = _name(entry)
-            place = _first_place(entry) or Place(self.loaded.path)
+            return [
+                self._with_locations(entry, lines, file, (*path, index)) for index, entry in enumerate(value)
+            ]
+        return Setting(value, location)
+
+    def _check_duplicate_classes(self, tree: Tree) -> None:
+        seen: dict[str, Location] = {}
+        for entry in _class_entries(tree):
+            name = _class_name(entry)
+            location = _first_location(entry) or Location(self.loaded.path)
             if name is not None and name in seen:
                 reason = f"The class {name!r} stands twice in this file, first in line {seen[name].line}."
-                self.add(place, f"class.{name}", "double-class", reason, "Keep one of them.")
+                self.add_finding(location, f"class.{name}", "double-class", reason, "Keep one of them.")
             elif name is not None:
-                seen[name] = place
+                seen[name] = location
 
 
-def _entries(tree: Tree) -> list[Tree]:
+def _class_entries(tree: Tree) -> list[Tree]:
     entries = tree.get("class")
     return entries if isinstance(entries, list) else []
 
 
-def _name(entry: Tree) -> str | None:
+def _class_name(entry: Tree) -> str | None:
     name = entry.get("name")
     return name.value if isinstance(name, Setting) and isinstance(name.value, str) else None
 
 
-def merge(under: Tree, over: Tree) -> Tree:
+def merge(base: Tree, override: Tree) -> Tree:
     """Both, where `over` goes first."""
-    merged = dict(under)
-    for key, value in over.items():
-        known = merged.get(key)
-        if isinstance(known, dict) and isinstance(value, dict):
-            merged[key] = merge(known, value)
-        elif key == "class" and isinstance(known, list) and isinstance(value, list):
-            merged[key] = _merge_classes(known, value)
+    merged = dict(base)
+    for key, value in override.items():
+        base_value = merged.get(key)
+        if isinstance(base_value, dict) and isinstance(value, dict):
+            merged[key] = merge(base_value, value)
+        elif key == "class" and isinstance(base_value, list) and isinstance(value, list):
+            merged[key] = _merge_classes(base_value, value)
         else:
             merged[key] = value
     return merged
 
 
-def _merge_classes(under: list[Tree], over: list[Tree]) -> list[Tree]:
-    merged = list(under)
-    places = {_name(entry): at for at, entry in enumerate(merged)}
-    for entry in over:
-        at = places.get(_name(entry))
-        if _name(entry) is None or at is None:
+def _merge_classes(base: list[Tree], override: list[Tree]) -> list[Tree]:
+    merged = list(base)
+    indexes = {_class_name(entry): index for index, entry in enumerate(merged)}
+    for entry in override:
+        index = indexes.get(_class_name(entry))
+        if _class_name(entry) is None or index is None:
             merged.append(entry)
         else:
-            merged[at] = merge(merged[at], entry)
+            merged[index] = merge(merged[index], entry)
     return merged
 
 
-def plain(node: Any) -> Any:
+def plain_values(node: Any) -> Any:
     """The values of a tree, without where they stand."""
     if isinstance(node, Setting):
         return node.value
     if isinstance(node, dict):
-        return {key: plain(value) for key, value in node.items() if key != _HEADER}
-    return [plain(value) for value in node]
+        return {key: plain_values(value) for key, value in node.items() if key != _HEADER_KEY}
+    return [plain_values(value) for value in node]
 
 
 class _UnreadableError(Exception):
@@ -254,21 +270,21 @@
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     except (OSError, ValueError) as error:
-        why = getattr(error, "strerror", None) or str(error)
+        cause = getattr(error, "strerror", None) or str(error)
         raise _UnreadableError(
-            "unreadable", f"{path} cannot be read: {why}.", "Name a file that is there."
+            "unreadable", f"{path} cannot be read: {cause}.", "Name a file that is there."
         ) from None
     if not stat.S_ISREG(os.fstat(descriptor).st_mode):
         os.close(descriptor)
         raise _UnreadableError("unreadable", f"{path} is no plain file.", "Name a plain file.")
     with open(descriptor, "rb") as file:
-        data = file.read(MOST_BYTES + 1)
-    if len(data) > MOST_BYTES:
-        raise _UnreadableError("too-large", f"The file is larger than {MOST_BYTES} bytes.", "Split it.")
+        data = file.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise _UnreadableError("too-large", f"The file is larger than {MAX_FILE_BYTES} bytes.", "Split it.")
     return data
 
 
-def checked_text(data: bytes) -> str:
+def decode_text(data: bytes) -> str:
     """The text of a file; it must be plain UTF-8."""
     if data.startswith((b"\xef\xbb\xbf", b"\xff\xfe", b"\xfe\xff")):
         raise _UnreadableError(
@@ -284,134 +300,140 @@
         raise _UnreadableError("encoding", "This is not UTF-8.", "Save the file as UTF-8.", line) from None
 
 
-def _error_line(text: str, source: str) -> int:
-    _, found, rest = text.partition("(at line ")
-    if found:
+def _error_line(message: str, source: str) -> int:
+    _, separator, rest = message.partition("(at line ")
+    if separator:
         return int(rest.split(",")[0])
-    return source.count("\n") + 1 if "end of document" in text else 0
+    return source.count("\n") + 1 if "end of document" in message else 0
 
 
-def _nesting(value: Any) -> int:
-    deepest, level = 0, [value]
+def _nesting_depth(value: Any) -> int:
+    depth, level = 0, [value]
     while level:
-        deepest += 1
+        depth += 1
         level = [
-            inner
+            child
             for entry in level
-            for inner in (entry.values() if isinstance(entry, Mapping) else entry)
-            if isinstance(inner, (dict, list))
+            for child in (entry.values() if isinstance(entry, Mapping) else entry)
+            if isinstance(child, (dict, list))
         ]
-    return deepest
+    return depth
 
 
-def _within(real: str, root: Path) -> bool:
-    base = os.path.realpath(root)
-    return real == base or real.startswith(base.rstrip("/") + "/")
+def _is_within(real_path: str, root: Path) -> bool:
+    real_root = os.path.realpath(root)
+    return real_path == real_root or real_path.startswith(real_root.rstrip("/") + "/")
 
 
-def root_of(path: Path) -> Path:
+def find_root(path: Path) -> Path:
     """The configuration root of a file: the topmost folder above it that holds a catalogue, else its own.
 
     The topmost, as whoever may write an application's folder could else put a milder catalogue there.
     """
-    folders = [folder for folder in path.absolute().parents if (folder / CATALOGUE).is_file()]
+    folders = [folder for folder in path.absolute().parents if (folder / CATALOGUE_FILE).is_file()]
     return folders[-1] if folders else path.absolute().parent
 
 
-def by_line(path: Path, lines: Mapping[KeyPath, int]) -> Callable[[KeyPath], Place]:
+def file_locator(path: Path, lines: Mapping[KeyPath, int]) -> Callable[[KeyPath], Location]:
     """Where each key of one file stands, or the nearest table above it."""
 
-    def where(key: KeyPath) -> Place:
+    def locate(key: KeyPath) -> Location:
         while key and key not in lines:
             key = key[:-1]
-        return Place(str(path), lines.get(key, 0))
+        return Location(str(path), lines.get(key, 0))
 
-    return where
+    return locate
 
 
 def read_toml(path: Path) -> tuple[dict[str, Any] | None, dict[KeyPath, int], list[Finding]]:
     """One file by itself: what it says, the lines of its keys, and what is wrong if it could not be read."""
     loader = _Loader(path, path.absolute().parent, {})
-    told = loader.decoded(path, os.path.realpath(path), Place(str(path)))
-    values, lines = told if told is not None else (None, {})
+    decoded = loader.decode_file(path, os.path.realpath(path), Location(str(path)))
+    values, lines = decoded if decoded is not None else (None, {})
     return values, lines, loader.loaded.findings
 
 
-def load(path: Path, root: Path | None = None, instead: Mapping[str, bytes] | None = None) -> Loaded:
+def load(path: Path, root: Path | None = None, replacements: Mapping[str, bytes] | None = None) -> Loaded:
     """Read a configuration; what is wrong with the reading and the types is in its findings.
 
     `instead`: what is to be read in place of some files, by their real paths, before it is written there.
     """
-    loader = _Loader(path, root or root_of(path), instead or {})
+    loader = _Loader(path, root or find_root(path), replacements or {})
     loaded = loader.loaded
-    loaded.tree = loader.read(path, Place(str(path)), ())
+    loaded.tree = loader.read(path, Location(str(path)), ())
     if not loaded.files:
         return loaded
-    _inherit(loader)
-    told = plain(loaded.tree)
-    loaded.model, findings = decode(Model, told, loaded.place)
-    loaded.findings += [_by_name(finding, told) for finding in findings]
-    loaded.catalogue, read, findings = load_catalogue(loader.root)
-    loaded.files.update(read)
+    _apply_inheritance(loader)
+    values = plain_values(loaded.tree)
+    loaded.model, findings = decode(Model, values, loaded.locate)
+    loaded.findings += [_with_class_name(finding, values) for finding in findings]
+    loaded.catalogue, catalogue_files, findings = load_catalogue(loader.root)
+    loaded.files.update(catalogue_files)
     loaded.findings += findings
     return loaded
 
 
-def _inherit(loader: _Loader) -> None:
+def _apply_inheritance(loader: _Loader) -> None:
     """Give each class the keys of those that it is like, and the defaults of all; its own go first."""
     tree = loader.loaded.tree
-    entries = _entries(tree)
+    entries = _class_entries(tree)
     if not entries or not all(isinstance(entry, dict) for entry in entries):
         return
-    named = {name: entry for entry in entries if (name := _name(entry)) is not None}
-    default = tree.get(DEFAULTS)
-    base: Tree = _inherited(default) if isinstance(default, dict) else {}
-    tree["class"] = [merge(base, _like(loader, named, entry, ())) for entry in entries]
+    entry_by_name = {name: entry for entry in entries if (name := _class_name(entry)) is not None}
+    defaults = tree.get(CLASS_DEFAULTS)
+    base: Tree = _inheritable_keys(defaults) if isinstance(defaults, dict) else {}
+    tree["class"] = [merge(base, _resolve_like(loader, entry_by_name, entry, ())) for entry in entries]
 
 
-def _inherited(entry: Tree) -> Tree:
-    return {key: value for key, value in entry.items() if key not in _OWN}
+def _inheritable_keys(entry: Tree) -> Tree:
+    return {key: value for key, value in entry.items() if key not in _NOT_INHERITED}
 
 
-def _like(loader: _Loader, named: dict[str, Tree], entry: Tree, chain: tuple[str, ...]) -> Tree:
+def _resolve_like(
+    loader: _Loader, entry_by_name: dict[str, Tree], entry: Tree, chain: tuple[str, ...]
+) -> Tree:
     like = entry.get("like")
     if not isinstance(like, Setting) or not isinstance(like.value, str) or not like.value:
         return entry
-    key = f"class.{_name(entry)}.like"
-    if like.value in chain or like.value == _name(entry):
-        loader.add(
-            like.place, key, "like-cycle", f"The class is like itself, by {like.value!r}.", "Break it."
+    key = f"class.{_class_name(entry)}.like"
+    if like.value in chain or like.value == _class_name(entry):
+        loader.add_finding(
+            like.location, key, "like-cycle", f"The class is like itself, by {like.value!r}.", "Break it."
         )
         return entry
-    if like.value not in named:
-        loader.add(
-            like.place, key, "like-unknown", f"There is no class {like.value!r}.", "Name one that is there."
+    if like.value not in entry_by_name:
+        loader.add_finding(
+            like.location,
+            key,
+            "like-unknown",
+            f"There is no class {like.value!r}.",
+            "Name one that is there.",
         )
         return entry
-    other = _like(loader, named, named[like.value], (*chain, str(_name(entry))))
-    return merge(_inherited(other), entry)
+    other = _resolve_like(loader, entry_by_name, entry_by_name[like.value], (*chain, str(_class_name(entry))))
+    return merge(_inheritable_keys(other), entry)
 
 
 def load_catalogue(root: Path) -> tuple[Catalogue | None, dict[str, bytes], list[Finding]]:
     """The catalogue of a configuration root (None: there is none), what was read, what is wrong."""
-    path = root / CATALOGUE
+    path = root / CATALOGUE_FILE
     if not path.is_file():
         return None, {}, []
     loader = _Loader(path, root, {})
-    told = loader.decoded(path, os.path.realpath(path), Place(str(path)))
-    if told is None:
+    decoded = loader.decode_file(path, os.path.realpath(path), Location(str(path)))
+    if decoded is None:
         return None, {}, loader.loaded.findings
-    values, lines = told
-    catalogue, findings = decode(Catalogue, values, by_line(path, lines))
+    values, lines = decoded
+    catalogue, findings = decode(Catalogue, values, file_locator(path, lines))
     return catalogue, loader.loaded.files, findings
 
 
-def _by_name(finding: Finding, told: Any) -> Finding:
+def _with_class_name(finding: Finding, values: Any) -> Finding:
     """A class is named in a finding's key by its name, not by its number, which depends on includes."""
     if not finding.key.startswith("class["):
         return finding
-    number, _, rest = finding.key[len("class[") :].partition("]")
-    entry = told["class"][int(number)]
+    index, _, rest = finding.key[len("class[") :].partition("]")
+    entry = values["class"][int(index)]
     name = entry.get("name") if isinstance(entry, dict) else None
     key = f"class.{name}{rest}" if isinstance(name, str) else finding.key
-    return Finding(finding.place, key, finding.code, finding.reason, finding.todo)
+    return Finding(finding.location, key, finding.code, finding.reason, finding.todo)
--- a/whinrouter/operator/model.py
+++ b/whinrouter/operator/model.py
@@ -135,7 +135,7 @@
     upstream: Upstream = field(default_factory=Upstream)
 
 
-class Allowed(Struct, forbid_unknown_fields=True):
+class CatalogueEntry(Struct, forbid_unknown_fields=True):
     """What the platform's owner signs off for one class of request, by name and by path."""
 
     name: Name
@@ -149,4 +149,4 @@
     """The one place in which it is declared what is safe to repeat; no application file can weaken it."""
 
     signed_by: str
-    effect: list[Allowed] = []
+    effect: list[CatalogueEntry] = []
--- a/whinrouter/overload_control.py
+++ b/whinrouter/overload_control.py
@@ -23,65 +23,65 @@
 
 # Seconds over which the least wait is taken: longer than the 100 ms in which a container that has used up its
 # part of a core gets its next one, or each of these pauses would count.
-INTERVAL = 0.15
+INTERVAL_SECONDS = 0.15
 # Part of the shortest aim that a standing queue may cost. Answers have the rest.
-TARGET_PART = 0.05
-LEAST_TARGET = 0.01  # seconds; a loop in good health may have turns of this length
-PATIENCE = 5.0  # targets that a request may have waited at the limit
+TARGET_FRACTION = 0.05
+MIN_TARGET_SECONDS = 0.01  # seconds; a loop in good health may have turns of this length
+MAX_WAIT_TARGETS = 5.0  # targets that a request may have waited at the limit
 # Requests that are read a turn at the limit. So many cost a few milliseconds, after which answers are next. A
 # turn looks at all that wait, however few it reads: with 16 of 240 the looking cost as much as the serving.
-READS_A_TURN = 64
-ACCEPT_EVERY = 0.1  # seconds between accepts at the limit; a turn of accepts is a fraction of this
+READS_PER_TURN = 64
+ACCEPT_INTERVAL_SECONDS = 0.1  # seconds between accepts at the limit; a turn of accepts is a fraction of this
 
 
-class OwnLimit:
+class OverloadControl:
     """The state of one process. It holds some numbers."""
 
     def __init__(self, aims: Iterable[float]) -> None:
         """`aims`: the times within which the classes want their answers, in seconds."""
-        self.retune(aims)
-        self.reached = False  # whether it is at its limit
-        self._least: float | None = None  # wait in this interval
-        self._turned = False  # whether any was turned away in it
-        self._ends = 0.0  # of this interval
-        self._accepted = 0.0  # when connections were last accepted
-
-    def retune(self, aims: Iterable[float]) -> None:
+        self.set_aims(aims)
+        self.is_overloaded = False  # whether it is at its limit
+        self._min_wait: float | None = None  # wait in this interval
+        self._has_rejected = False  # whether any was turned away in it
+        self._interval_end = 0.0  # of this interval
+        self._last_accept_at = 0.0  # when connections were last accepted
+
+    def set_aims(self, aims: Iterable[float]) -> None:
         """The classes want their answers within other times."""
-        self.target = max(LEAST_TARGET, TARGET_PART * min(aims))
+        self.target = max(MIN_TARGET_SECONDS, TARGET_FRACTION * min(aims))
 
     @property
-    def patience(self) -> float:
+    def max_wait(self) -> float:
         """Seconds that a request may have waited unread."""
-        return PATIENCE * self.target
+        return MAX_WAIT_TARGETS * self.target
 
-    def waited(self, seconds: float, now: float) -> bool:
+    def should_reject(self, wait: float, now: float) -> bool:
         """A request is read that waited so long; whether it is to be turned away for it."""
-        self.passes(now)
-        if self._least is None or seconds < self._least:
-            self._least = seconds
-        turned = self.reached and seconds > self.patience
-        self._turned = self._turned or turned
-        return turned
-
-    def passes(self, now: float) -> None:
+        self.advance(now)
+        if self._min_wait is None or wait < self._min_wait:
+            self._min_wait = wait
+        is_rejected = self.is_overloaded and wait > self.max_wait
+        self._has_rejected = self._has_rejected or is_rejected
+        return is_rejected
+
+    def advance(self, now: float) -> None:
         """Time passes: an interval may end, also with nobody asking."""
-        if now < self._ends:
+        if now < self._interval_end:
             return
         # To turn away is to make the others wait less: that is no sign that the load has fallen. Were it
         # taken for one, every other interval would let the queue grow again. But of a whole interval in which
         # nobody asked, nothing is known but that nobody waited.
-        stands = self._turned or (self._least is not None and self._least > self.target)
-        self.reached = stands and now < self._ends + INTERVAL
-        self._least, self._turned, self._ends = None, False, now + INTERVAL
+        is_standing = self._has_rejected or (self._min_wait is not None and self._min_wait > self.target)
+        self.is_overloaded = is_standing and now < self._interval_end + INTERVAL_SECONDS
+        self._min_wait, self._has_rejected, self._interval_end = None, False, now + INTERVAL_SECONDS
 
-    def reads(self) -> int | None:
+    def read_limit(self) -> int | None:
         """How many clients may be read from in this turn; None: all."""
-        return READS_A_TURN if self.reached else None
+        return READS_PER_TURN if self.is_overloaded else None
 
-    def accepts(self, now: float) -> bool:
+    def may_accept(self, now: float) -> bool:
         """Whether connections may be accepted in this turn."""
-        if self.reached and now < self._accepted + ACCEPT_EVERY:
+        if self.is_overloaded and now < self._last_accept_at + ACCEPT_INTERVAL_SECONDS:
             return False
-        self._accepted = now
+        self._last_accept_at = now
         return True
--- a/whinrouter/platform_gateway.py
+++ b/whinrouter/platform_gateway.py
@@ -10,75 +10,83 @@
 from whinrouter import signals
 from whinrouter.net.config import Config, ConfigError, load, reload
 from whinrouter.net.discovery import Discovery
-from whinrouter.program import RESERVED, Hosts, Plan, Retune, Tuning, log_to_stderr, serve
+from whinrouter.program import (
+    RESERVED_DESCRIPTORS,
+    ApplySettings,
+    GatewayOptions,
+    HostSource,
+    RuntimeSettings,
+    log_to_stderr,
+    serve,
+)
 
 log = logging.getLogger("whinrouter")
 
 
 # What a start alone decides, and so no reload; the rest of what a file names is in force at once.
-_AT_START = ("name", "listen", "control")
+_STARTUP_KEYS = ("name", "listen", "control")
 
 
-class _Reload:
+class _Reloader:
     """On SIGHUP: read the file again; take its settings and its discovery, or nothing of it."""
 
     def __init__(self, config: Config) -> None:
         self._config = config
 
-    def __call__(self, hosts: Hosts, retune: Retune) -> None:
-        assert isinstance(hosts, Discovery)
+    def __call__(self, host_source: HostSource, apply_settings: ApplySettings) -> None:
+        assert isinstance(host_source, Discovery)
         old = self._config
         try:
-            told = reload(os.environ, old)
+            new = reload(os.environ, old)
         except ConfigError as error:
             log.error("reload: %s; going on with what is in force", error)
             return
-        waiting = [key for key in _AT_START if getattr(told, key) != getattr(old, key)]
-        self._config = replace(told, **{key: getattr(old, key) for key in _AT_START})
-        hosts.patience = told.patience
-        if told.discovery != old.discovery:
-            log.info("reload: discovery is now at %s:%d", *told.discovery)
-            hosts.move(told.discovery)
-        if tuning(told) != tuning(old):
-            retune(tuning(told))
-        if waiting:
-            log.warning("reload: %s waits for the next start", ", ".join(waiting))
-
-
-def tuning(config: Config) -> Tuning:
+        deferred = [key for key in _STARTUP_KEYS if getattr(new, key) != getattr(old, key)]
+        self._config = replace(new, **{key: getattr(old, key) for key in _STARTUP_KEYS})
+        host_source.retry_policy = new.retry_policy
+        if new.discovery != old.discovery:
+            log.info("reload: discovery is now at %s:%d", *new.discovery)
+            host_source.move(new.discovery)
+        if runtime_settings(new) != runtime_settings(old):
+            apply_settings(runtime_settings(new))
+        if deferred:
+            log.warning("reload: %s waits for the next start", ", ".join(deferred))
+
+
+def runtime_settings(config: Config) -> RuntimeSettings:
     """What of a configuration may change while the gateway serves."""
-    half = max(1, (config.sockets - RESERVED) // 2)
-    return Tuning(config.settings, config.connect_time, config.idle_time, half, half)
+    half = max(1, (config.sockets - RESERVED_DESCRIPTORS) // 2)
+    return RuntimeSettings(config.settings, config.connect_time, config.idle_time, half, half)
 
 
-def plan(config: Config) -> Plan:
+def gateway_options(config: Config) -> GatewayOptions:
     """What the platform tells, as a gateway is started with it."""
-    tuned = tuning(config)
-    return Plan(
+    runtime = runtime_settings(config)
+    return GatewayOptions(
         name=config.name,
-        listen=config.listen,
+        listen_address=config.listen,
         settings=config.settings,
         seed=config.seed,
-        known=config.known,
-        hosts=lambda take: Discovery(
-            config.discovery, config.known.revision, take, config.patience, bool(config.known.members)
+        known_hosts=config.known,
+        create_host_source=lambda deliver: Discovery(
+            config.discovery, config.known.revision, deliver, config.retry_policy, bool(config.known.members)
         ),
-        reload=_Reload(config),
-        connect_time=config.connect_time,
-        idle_time=config.idle_time,
-        clients=tuned.clients,
-        connections=tuned.connections,
-        control=config.control,
-        listener=config.listener,
+        reload=_Reloader(config),
+        connect_timeout=config.connect_time,
+        idle_timeout=config.idle_time,
+        max_clients=runtime.max_clients,
+        max_host_connections=runtime.max_host_connections,
+        control_address=config.control,
+        listener_descriptor=config.listener,
     )
 
 
 def main() -> int:
     """Serve until a signal ends it; 2 if it cannot start."""
-    signals.hold()
+    signals.block()
     log_to_stderr()
     try:
-        serve(plan(load(os.environ)))
+        serve(gateway_options(load(os.environ)))
     except ConfigError as error:
         print(f"whinrouter: {error}", file=sys.stderr)
         return 2
--- a/whinrouter/program.py
+++ b/whinrouter/program.py
@@ -19,24 +19,24 @@
 from whinrouter import signals
 from whinrouter.balance import Balancer
 from whinrouter.coalesced import CoalescedCall
-from whinrouter.control.calls import Calls
+from whinrouter.control.calls import CallRegistry
 from whinrouter.control.server import ControlServer
 from whinrouter.interface import SECOND, Settings
 from whinrouter.invariants.events import EventKind
-from whinrouter.net.application import Application
+from whinrouter.net.application import ApplicationMonitor
 from whinrouter.net.config import ConfigError
-from whinrouter.net.connect import LISTEN_PAUSES, with_retries
-from whinrouter.net.frontend import RECEIVE_TIME, Frontend
+from whinrouter.net.connect import LISTEN_RETRY_SECONDS, with_retries
+from whinrouter.net.frontend import RECEIVE_TIMEOUT_SECONDS, Frontend
 from whinrouter.net.gateway import Gateway
 from whinrouter.net.hosts import HostList
-from whinrouter.net.priority_selector import Door
+from whinrouter.net.priority_selector import PrioritySelector
 from whinrouter.net.routes import Routes
-from whinrouter.net.upstream import Upstream
-from whinrouter.operations.controller import Desk
-from whinrouter.overload_control import OwnLimit
+from whinrouter.net.upstream import ConnectionPool
+from whinrouter.operations.controller import OperationsController
+from whinrouter.overload_control import OverloadControl
 
 if TYPE_CHECKING:
-    from whinrouter.handover.coordinator import Succession
+    from whinrouter.handover.coordinator import HandoverCoordinator
 
 log = logging.getLogger("whinrouter")
 event_log = logging.getLogger("whinrouter.events")
@@ -47,20 +47,22 @@
 # streams, the loop, the listeners and the watch on discovery (10), callers (8, `control/shell.py`), clients
 # past the limit (8, `net/frontend.py`), and what is accepted in the turns before it is counted (3 times 4,
 # `net/connect.py`).
-RESERVED = 40
-STILL_ACCEPTING = 0.5  # seconds for which connections go on coming after SIGTERM
-STREAMS_END = 300.0  # seconds for bodies that are passed on at the end: 32 MB at 107 kB/s
-LAG_STEP, LAG_SHOWN = 0.1, 0.05
+RESERVED_DESCRIPTORS = 40
+ACCEPT_GRACE_SECONDS = 0.5  # seconds for which connections go on coming after SIGTERM
+STREAM_DRAIN_SECONDS = 300.0  # seconds for bodies that are passed on at the end: 32 MB at 107 kB/s
+LAG_CHECK_SECONDS, LAG_WARNING_SECONDS = 0.1, 0.05
 # New objects between two looks of the collector. What a request makes is freed as it ends, and cycles are
 # rare: with Python's own 700 it cost up to a tenth of all CPU.
-GC_EVERY = 20_000
-SELDOM = 1.0  # seconds between two log lines of a kind
+GC_THRESHOLD_OBJECTS = 20_000
+LOG_REPEAT_SECONDS = 1.0  # seconds between two log lines of a kind
 # Seconds between two reloads: SIGHUPs that come faster than a file is read must not keep the loop busy.
-RELOAD_EVERY = 0.1
-EVENTS_EVERY = 1.0  # and between two times at which the latest events, thousands of lines, are written
+RELOAD_INTERVAL_SECONDS = 0.1
+EVENTS_INTERVAL_SECONDS = (
+    1.0  # and between two times at which the latest events, thousands of lines, are written
+)
 
 
-class Hosts(Protocol):
+class HostSource(Protocol):
     """Where lists of hosts come from."""
 
     @property
@@ -74,139 +76,149 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beside:
+class ServedApplication:
     """The application that a gateway serves alone."""
 
     pid_file: str
-    ends_with_it: bool  # else it takes no work until the application is back
+    exits_with_it: bool  # else it takes no work until the application is back
 
 
 @dataclass(frozen=True, slots=True)
-class Tuning:
+class RuntimeSettings:
     """What may change while it serves."""
 
     settings: Settings
-    connect_time: float  # seconds
-    idle_time: float  # seconds
-    clients: int  # connections of clients at most
-    connections: int  # connections to hosts at most
+    connect_timeout: float  # seconds
+    idle_timeout: float  # seconds
+    max_clients: int  # connections of clients at most
+    max_host_connections: int  # connections to hosts at most
     routes: Routes | None = None
-    attempt_time: int = 0  # microseconds; 0: what is left
+    attempt_timeout: int = 0  # microseconds; 0: what is left
 
 
-Retune = Callable[[Tuning], None]
+ApplySettings = Callable[[RuntimeSettings], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class GatewayOptions:
     """All that a gateway is started with."""
 
     name: str
-    listen: tuple[str, int]  # the port of a Unix socket's path is 0
+    listen_address: tuple[str, int]  # the port of a Unix socket's path is 0
     settings: Settings
     seed: int
-    known: HostList
-    hosts: Callable[[Callable[[HostList], None]], Hosts]
-    reload: Callable[[Hosts, Retune], None]  # on SIGHUP
-    connect_time: float  # seconds
-    idle_time: float  # seconds
-    clients: int  # connections of clients at most
-    connections: int  # connections to hosts at most
-    known_is_old: bool = True  # nobody has told of these hosts since the start
+    known_hosts: HostList
+    create_host_source: Callable[[Callable[[HostList], None]], HostSource]
+    reload: Callable[[HostSource, ApplySettings], None]  # on SIGHUP
+    connect_timeout: float  # seconds
+    idle_timeout: float  # seconds
+    max_clients: int  # connections of clients at most
+    max_host_connections: int  # connections to hosts at most
+    known_hosts_are_stale: bool = True  # nobody has told of these hosts since the start
     routes: Routes | None = None
-    attempt_time: int = 0  # microseconds that an attempt may take; 0: what is left
-    buffered: int | None = None  # bytes of requests that wait or have not come whole; None: the usual
-    beside: Beside | None = None
-    control: tuple[str, int] | None = None  # where operators call
-    listener: int | None = None  # the descriptor of a socket that listens for clients already
+    attempt_timeout: int = 0  # microseconds that an attempt may take; 0: what is left
+    max_buffered_bytes: int | None = (
+        None  # bytes of requests that wait or have not come whole; None: the usual
+    )
+    application: ServedApplication | None = None
+    control_address: tuple[str, int] | None = None  # where operators call
+    listener_descriptor: int | None = None  # the descriptor of a socket that listens for clients already
 
 
-def serve(plan: Plan) -> None:
+def serve(options: GatewayOptions) -> None:
     """Run until SIGTERM or SIGINT, or until the application ends if it is to end with that.
 
     Raises ConfigError if it cannot listen.
     """
-    door = Door(OwnLimit([kind.aim / SECOND for kind in plan.settings.classes]))
+    door = PrioritySelector(
+        OverloadControl([request_class.aim / SECOND for request_class in options.settings.classes])
+    )
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(door)) as runner:
-        runner.run(_held_at_its_end(_serve(plan, door)))
+        runner.run(_block_signals_after(_serve(options, door)))
 
 
-async def _held_at_its_end(work: Coroutine[Any, Any, None]) -> None:
+async def _block_signals_after(work: Coroutine[Any, Any, None]) -> None:
     """Hold signals from the end of this work on: the loop gives them their default actions as it closes."""
     try:
         await work
     finally:
-        signals.hold()
+        signals.block()
 
 
-async def _serve(plan: Plan, door: Door) -> None:
-    upstream = Upstream(plan.connect_time, plan.idle_time, plan.connections, door.lay)
-    gateway = Gateway(Balancer(plan.settings, plan.seed), upstream, plan.attempt_time)
-    frontend = Frontend(gateway, plan.settings, plan.clients, door, plan.routes, plan.buffered)
+async def _serve(options: GatewayOptions, door: PrioritySelector) -> None:
+    upstream = ConnectionPool(
+        options.connect_timeout, options.idle_timeout, options.max_host_connections, door.unread_seconds
+    )
+    gateway = Gateway(Balancer(options.settings, options.seed), upstream, options.attempt_timeout)
+    frontend = Frontend(
+        gateway, options.settings, options.max_clients, door, options.routes, options.max_buffered_bytes
+    )
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     events = _write_events_on_signal(loop, gateway)
-    signals.release((signal.SIGTERM, signal.SIGINT, signal.SIGUSR1))
-    desk = Desk(gateway.clock.now, loop.time, gateway.list_hosts, frontend.presence)
-    desk.violations = gateway.guards.violations.summary
-    hosts = plan.hosts(desk.listed)
-    succession = _succession(plan, gateway, frontend, upstream, desk, hosts)
-    told = await succession.take() if succession is not None else None
-    if told is None:
-        desk.listed(plan.known, stale=plan.known_is_old)
+    signals.unblock((signal.SIGTERM, signal.SIGINT, signal.SIGUSR1))
+    controller = OperationsController(gateway.clock.now, loop.time, gateway.update_hosts, frontend.presence)
+    controller.violation_summary = gateway.guards.violations.summary
+    host_source = options.create_host_source(controller.apply_list)
+    coordinator = _create_coordinator(options, gateway, frontend, upstream, controller, host_source)
+    snapshot = await coordinator.request_snapshot() if coordinator is not None else None
+    if snapshot is None:
+        controller.apply_list(options.known_hosts, is_stale=options.known_hosts_are_stale)
     else:
-        hosts.resume(told.source, told.revision)
-    retune = partial(_retune, gateway, frontend, upstream, succession)
-    reload = CoalescedCall(loop, partial(plan.reload, hosts, retune), RELOAD_EVERY)
-    loop.add_signal_handler(signal.SIGHUP, reload.ask)
-    signals.release((signal.SIGHUP,))
-    control = await _control(plan, desk, lambda: _serves(frontend, succession))
-    application = _application(plan, frontend, stop)
+        host_source.resume(snapshot.discovery_source, snapshot.revision)
+    apply_settings = partial(_apply_settings, gateway, frontend, upstream, coordinator)
+    reload = CoalescedCall(
+        loop, partial(options.reload, host_source, apply_settings), RELOAD_INTERVAL_SECONDS
+    )
+    loop.add_signal_handler(signal.SIGHUP, reload.request)
+    signals.unblock((signal.SIGHUP,))
+    control = await _start_control(options, controller, lambda: _is_ready(frontend, coordinator))
+    application = _create_application(options, frontend, stop)
     if application is None:
-        port = await _listen(plan, frontend)
-        log.info("%s listens on %s:%d", plan.name, plan.listen[0], port)
-    if succession is not None:
-        await succession.serve()
-    hosts.start()
-    lag = loop.create_task(_watch_lag())
+        port = await _listen(options, frontend)
+        log.info("%s listens on %s:%d", options.name, options.listen_address[0], port)
+    if coordinator is not None:
+        await coordinator.start_serving()
+    host_source.start()
+    lag_task = loop.create_task(_watch_lag())
     # What exists now stays: the collector need not look at it again, which would hold up the loop.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_EVERY, 20, 50)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS, 20, 50)
     if application is not None:
         application.start()
     await stop.wait()
     reload.stop()
     events.stop()
-    log.info("stopping: %d requests held", gateway.holds)
-    gateway.note(EventKind.STOPPING, f"{gateway.holds} held")
+    log.info("stopping: %d requests held", gateway.unanswered_count)
+    gateway.record_event(EventKind.STOPPING, f"{gateway.unanswered_count} held")
     frontend.stop()
     if application is not None:
         application.stop()
-    await _take_no_more(frontend, replaced=succession is not None and succession.replaced)
-    await _until_answered(frontend)
-    if succession is not None:
-        await succession.until_passed(STREAMS_END)
-    hosts.stop()
-    lag.cancel()
-    _close(gateway, control, succession)
+    await _stop_accepting(frontend, is_replaced=coordinator is not None and coordinator.is_replaced)
+    await _drain_connections(frontend)
+    if coordinator is not None:
+        await coordinator.wait_for_relays(STREAM_DRAIN_SECONDS)
+    host_source.stop()
+    lag_task.cancel()
+    _close(gateway, control, coordinator)
 
 
-def _close(gateway: Gateway, control: ControlServer | None, succession: Succession | None) -> None:
+def _close(gateway: Gateway, control: ControlServer | None, coordinator: HandoverCoordinator | None) -> None:
     """Close what takes calls from operators and from other processes, and say how it went."""
     if control is not None:
         control.close()
-    if succession is not None:
-        succession.close()
-    gateway.guards.exit(gateway.holds, gateway.clock.now())
+    if coordinator is not None:
+        coordinator.close()
+    gateway.guards.process_exiting(gateway.unanswered_count, gateway.clock.now())
     log.info("ended; invariants violated: %s", gateway.guards.violations.summary())
 
 
 def _write_events_on_signal(loop: asyncio.AbstractEventLoop, gateway: Gateway) -> CoalescedCall:
-    events = CoalescedCall(loop, partial(_write_events, gateway), EVENTS_EVERY)
-    loop.add_signal_handler(signal.SIGUSR1, events.ask)
+    events = CoalescedCall(loop, partial(_write_events, gateway), EVENTS_INTERVAL_SECONDS)
+    loop.add_signal_handler(signal.SIGUSR1, events.request)
     return events
 
 
@@ -218,160 +230,181 @@
     event_log.info("%d events; invariants violated: %s", len(events), gateway.guards.violations.summary())
 
 
-def _succession(
-    plan: Plan, gateway: Gateway, frontend: Frontend, upstream: Upstream, desk: Desk, hosts: Hosts
-) -> Succession | None:
+def _create_coordinator(
+    options: GatewayOptions,
+    gateway: Gateway,
+    frontend: Frontend,
+    upstream: ConnectionPool,
+    controller: OperationsController,
+    host_source: HostSource,
+) -> HandoverCoordinator | None:
     """Where another process may listen at the same socket, what is told between the two."""
-    folder = os.environ.get("TMPDIR")
-    if plan.listener is None or not folder:
+    directory = os.environ.get("TMPDIR")
+    if options.listener_descriptor is None or not directory:
         return None
-    from whinrouter.handover.coordinator import Succession  # noqa: PLC0415 - only where it is on
+    from whinrouter.handover.coordinator import HandoverCoordinator  # noqa: PLC0415 - only where it is on
     from whinrouter.handover.messages import Hello  # noqa: PLC0415
 
-    hello = Hello(plan.name, "{}:{}".format(*plan.listen), os.fstat(plan.listener).st_ino)
-    named = repr((hello.name, hello.listen)).encode()
-    path = Path(folder) / f"copperlead-{blake2b(named, digest_size=8).hexdigest()}"
-    succession = Succession(
+    hello = Hello(
+        options.name, "{}:{}".format(*options.listen_address), os.fstat(options.listener_descriptor).st_ino
+    )
+    identity = repr((hello.name, hello.listen)).encode()
+    path = Path(directory) / f"copperlead-{blake2b(identity, digest_size=8).hexdigest()}"
+    coordinator = HandoverCoordinator(
         gateway,
         frontend,
         upstream,
-        desk,
+        controller,
         path,
         hello,
-        plan.clients + plan.connections,
-        lambda: _listen(plan, frontend),
-        lambda: hosts.source,
+        options.max_clients + options.max_host_connections,
+        lambda: _listen(options, frontend),
+        lambda: host_source.source,
     )
-    desk.share, desk.heard = succession.share, succession.stopped
-    return succession
+    controller.share_call, controller.share_list = coordinator.share_call, coordinator.share_stopped_hosts
+    return coordinator
 
 
-def _retune(
-    gateway: Gateway, frontend: Frontend, upstream: Upstream, succession: Succession | None, to: Tuning
+def _apply_settings(
+    gateway: Gateway,
+    frontend: Frontend,
+    upstream: ConnectionPool,
+    coordinator: HandoverCoordinator | None,
+    new: RuntimeSettings,
 ) -> None:
     """All of it or, as it has been checked, nothing: no request comes between."""
-    upstream.retune(to.connect_time, to.idle_time, to.connections)
-    gateway.retune(to.settings, to.attempt_time)
-    frontend.retune(to.settings, to.clients, to.routes)
-    if succession is not None:
-        succession.retune(to.clients + to.connections)
-    log.info("settings: %s", ", ".join(kind.name for kind in to.settings.classes))
+    upstream.retune(new.connect_timeout, new.idle_timeout, new.max_host_connections)
+    gateway.apply_settings(new.settings, new.attempt_timeout)
+    frontend.apply_settings(new.settings, new.max_clients, new.routes)
+    if coordinator is not None:
+        coordinator.set_max_descriptors(new.max_clients + new.max_host_connections)
+    log.info("settings: %s", ", ".join(request_class.name for request_class in new.settings.classes))
 
 
-def _serves(frontend: Frontend, succession: Succession | None) -> bool:
+def _is_ready(frontend: Frontend, coordinator: HandoverCoordinator | None) -> bool:
     """Whether clients get answers here, or at the process that has taken over."""
-    if succession is not None and not succession.serving:
+    if coordinator is not None and not coordinator.is_serving:
         return False
-    listens = frontend.listener.descriptor is not None or (succession is not None and succession.replaced)
-    return frontend.gateway.has_list and listens
+    listens = frontend.listener.descriptor is not None or (
+        coordinator is not None and coordinator.is_replaced
+    )
+    return frontend.gateway.has_host_list and listens
 
 
-async def _control(plan: Plan, desk: Desk, ready: Callable[[], bool]) -> ControlServer | None:
+async def _start_control(
+    options: GatewayOptions, controller: OperationsController, is_ready: Callable[[], bool]
+) -> ControlServer | None:
     """The operators' address, where there is one."""
-    if plan.control is None:
+    if options.control_address is None:
         return None
-    calls = Calls()
-    desk.register(calls, ready)
+    calls = CallRegistry()
+    controller.register_calls(calls, is_ready)
     control = ControlServer(calls)
-    host, port = plan.control
+    host, port = options.control_address
     try:
-        port = await with_retries(partial(control.listen, host, port), LISTEN_PAUSES)
+        port = await with_retries(partial(control.listen, host, port), LISTEN_RETRY_SECONDS)
     except OSError as error:
         raise ConfigError(f"cannot listen on {host}:{port}: {error.strerror}") from None
-    log.info("%s takes calls on %s:%d", plan.name, host, port)
+    log.info("%s takes calls on %s:%d", options.name, host, port)
     return control
 
 
-async def _listen(plan: Plan, frontend: Frontend) -> int:
-    host, port = plan.listen
+async def _listen(options: GatewayOptions, frontend: Frontend) -> int:
+    host, port = options.listen_address
     try:
-        return await with_retries(partial(frontend.listen, host, port, plan.listener), LISTEN_PAUSES)
+        return await with_retries(
+            partial(frontend.listen, host, port, options.listener_descriptor), LISTEN_RETRY_SECONDS
+        )
     except OSError as error:
         raise ConfigError(f"cannot listen on {host}:{port}: {error.strerror}") from None
 
 
-def _application(plan: Plan, frontend: Frontend, stop: asyncio.Event) -> Application | None:
+def _create_application(
+    options: GatewayOptions, frontend: Frontend, stop: asyncio.Event
+) -> ApplicationMonitor | None:
     """Listen while the application is here, and not while it is gone."""
-    beside = plan.beside
-    if beside is None:
+    application = options.application
+    if application is None:
         return None
     tasks: set[asyncio.Task[None]] = set()
 
     async def listen() -> None:
         try:
-            await _listen(plan, frontend)
-            log.info("%s listens on %s:%d", plan.name, *plan.listen)
+            await _listen(options, frontend)
+            log.info("%s listens on %s:%d", options.name, *options.listen_address)
         except ConfigError as error:
             log.error("%s; ending", error)
             stop.set()
 
-    def back() -> None:
+    def application_returned() -> None:
         task = asyncio.get_running_loop().create_task(listen())
         tasks.add(task)
         task.add_done_callback(tasks.discard)
 
-    def gone() -> None:
+    def application_gone() -> None:
         # Its own connections end by themselves, and what is left of them is nobody's.
         frontend.close()
-        if beside.ends_with_it:
+        if application.exits_with_it:
             stop.set()
 
-    return Application(beside.pid_file, gone, back)
+    return ApplicationMonitor(application.pid_file, application_gone, application_returned)
 
 
-class _Seldom(logging.Filter):
+class _RepeatFilter(logging.Filter):
     """Peers can cause some lines at will: of a kind, one in a second is enough."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._said: dict[str, float] = {}  # by the text without its figures: as many as the source holds
+        self._last_logged: dict[
+            str, float
+        ] = {}  # by the text without its figures: as many as the source holds
         self._left_out: dict[str, int] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
         if record.name in UNFILTERED:
             return True
-        kind, now = str(record.msg), time.monotonic()  # the wall clock may be stepped back by an hour
-        if now < self._said.get(kind, -SELDOM) + SELDOM:
-            self._left_out[kind] = self._left_out.get(kind, 0) + 1
+        template, now = str(record.msg), time.monotonic()  # the wall clock may be stepped back by an hour
+        if now < self._last_logged.get(template, -LOG_REPEAT_SECONDS) + LOG_REPEAT_SECONDS:
+            self._left_out[template] = self._left_out.get(template, 0) + 1
             return False
-        self._said[kind] = now
-        left_out = self._left_out.pop(kind, 0)
+        self._last_logged[template] = now
+        left_out = self._left_out.pop(template, 0)
         if left_out:
-            record.msg = f"{kind} ({left_out} such lines left out)"
+            record.msg = f"{template} ({left_out} such lines left out)"
         return True
 
 
-async def _take_no_more(frontend: Frontend, replaced: bool) -> None:
+async def _stop_accepting(frontend: Frontend, is_replaced: bool) -> None:
     """Stop listening, once what still comes has come."""
-    if not replaced:  # else it is another process that connections go on coming to
-        await asyncio.sleep(STILL_ACCEPTING)
-    await frontend.listener.accept_rest()
-    if replaced:  # those that are idle end with an answer, or as `Presence` says
+    if not is_replaced:  # else it is another process that connections go on coming to
+        await asyncio.sleep(ACCEPT_GRACE_SECONDS)
+    await frontend.listener.accept_pending()
+    if is_replaced:  # those that are idle end with an answer, or as `Presence` says
         frontend.close_listener()
     else:
         frontend.close()
 
 
-async def _until_answered(frontend: Frontend) -> None:
+async def _drain_connections(frontend: Frontend) -> None:
     """Each connection closes with its answer; one who doesn't read must not hold up the exit.
 
     What is still being received as the last moment for answers comes is refused: its last byte would make it
     ours, with nobody left to answer it.
     """
     loop = asyncio.get_running_loop()
-    last = frontend.presence.last_answer(frontend.longest) or loop.time()
+    answer_deadline = frontend.presence.answer_deadline(frontend.longest_deadline_seconds) or loop.time()
     try:
-        async with asyncio.timeout(RECEIVE_TIME + frontend.longest):
+        async with asyncio.timeout(RECEIVE_TIMEOUT_SECONDS + frontend.longest_deadline_seconds):
             while frontend.connections:
-                if loop.time() >= last:
-                    frontend.refuse_rest()
+                if loop.time() >= answer_deadline:
+                    frontend.refuse_incomplete_requests()
                 await asyncio.sleep(0.01)
         return
     except TimeoutError:
         pass
     try:  # what is passed on is its host's and its client's to end, as long as they move it
-        async with asyncio.timeout(STREAMS_END):
-            while frontend.streaming:
+        async with asyncio.timeout(STREAM_DRAIN_SECONDS):
+            while frontend.streaming_connections:
                 await asyncio.sleep(0.01)
         if not frontend.connections:
             return
@@ -384,9 +417,9 @@
     """Say so when the loop runs late: every deadline is then met late."""
     loop = asyncio.get_running_loop()
     while True:
-        due = loop.time() + LAG_STEP
-        await asyncio.sleep(LAG_STEP)
-        if loop.time() - due > LAG_SHOWN:
+        due = loop.time() + LAG_CHECK_SECONDS
+        await asyncio.sleep(LAG_CHECK_SECONDS)
+        if loop.time() - due > LAG_WARNING_SECONDS:
             log.warning("the loop runs %d ms late", (loop.time() - due) * 1000)
 
 
@@ -399,4 +432,4 @@
         datefmt="%H:%M:%S",
     )
     for handler in logging.getLogger().handlers:
-        handler.addFilter(_Seldom())
+        handler.addFilter(_RepeatFilter())
--- a/whinrouter/sidecar.py
+++ b/whinrouter/sidecar.py
@@ -13,31 +13,39 @@
 
 from whinrouter import signals
 from whinrouter.interface import SECOND, Effect, RequestClass, Scope, Settings
-from whinrouter.membership.retry_policy import asked
-from whinrouter.net.config import ConfigError, inherited
+from whinrouter.membership.retry_policy import shared_service_policy
+from whinrouter.net.config import ConfigError, inherited_descriptor
 from whinrouter.net.discovery import Discovery
-from whinrouter.net.hostfile import HostFile, listed
+from whinrouter.net.hostfile import HostFile, whole_list
 from whinrouter.net.hosts import HostList
 from whinrouter.net.routes import Route, Routes
-from whinrouter.operator import model as told
-from whinrouter.operator.checks import check, methods_of, path_of
+from whinrouter.operator import model as schema
+from whinrouter.operator.checks import check, effective_methods, effective_path
 from whinrouter.operator.explain import changes
 from whinrouter.operator.loading import Loaded, load
 from whinrouter.operator.values import Address
-from whinrouter.program import Beside, Hosts, Plan, Retune, Tuning, log_to_stderr, serve
+from whinrouter.program import (
+    ApplySettings,
+    GatewayOptions,
+    HostSource,
+    RuntimeSettings,
+    ServedApplication,
+    log_to_stderr,
+    serve,
+)
 
 log = logging.getLogger("whinrouter")
 
 # A service that names hosts is nobody's own: it may be asked by any number of sidecars, of which this is one.
 # Its watch is kept for as long, and asked for again as seldom, as that of a lone gateway.
-SERVICE = asked(gateways=1, ask_every=10.0)
+SERVICE_PATIENCE = shared_service_policy(gateways=1, ask_every=10.0)
 
 _EFFECTS = {
-    told.Effect.IDEMPOTENT: Effect.IDEMPOTENT,
-    told.Effect.KEYED: Effect.KEYED,
-    told.Effect.AT_MOST_ONCE: Effect.AT_MOST_ONCE,
+    schema.Effect.IDEMPOTENT: Effect.IDEMPOTENT,
+    schema.Effect.KEYED: Effect.KEYED,
+    schema.Effect.AT_MOST_ONCE: Effect.AT_MOST_ONCE,
 }
-_SCOPES = {told.Group.ALL: Scope.ALL, told.Group.ZONE: Scope.ZONE, told.Group.CELL: Scope.CELL}
+_SCOPES = {schema.Group.ALL: Scope.ALL, schema.Group.ZONE: Scope.ZONE, schema.Group.CELL: Scope.CELL}
 
 
 def run(path: Path, digest: str | None = None) -> int:
@@ -45,7 +53,7 @@
 
     `digest`: what `copperlead sidecar check` showed; a file that has changed since is refused.
     """
-    signals.hold()
+    signals.block()
     loaded = load(path)
     findings = check(loaded)
     for finding in findings:
@@ -59,7 +67,7 @@
     log.info("%s, digest %s", path, loaded.digest)
     try:
         _limit_descriptors(loaded.model.limits.sockets)
-        serve(plan(loaded))
+        serve(gateway_options(loaded))
     except ConfigError as error:
         print(f"copperlead: {error}", file=sys.stderr)
         return 2
@@ -73,96 +81,102 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (count, hard))
 
 
-def settings(model: told.Model) -> Settings:
+def settings(model: schema.Model) -> Settings:
     """What the module is told of a configuration that has passed the checks."""
     upstream = model.upstream
     return Settings(
-        classes=tuple(map(_class, model.request_class)),
+        classes=tuple(map(_request_class, model.request_class)),
         zone=model.discovery.zone,
         max_attempts=upstream.attempts,
         may_hedge=upstream.hedge,
         may_cancel=True,
-        retry_after=upstream.retry_after,
+        sends_retry_after=upstream.retry_after,
     )
 
 
-def _class(kind: told.RequestClass) -> RequestClass:
+def _request_class(declared: schema.RequestClass) -> RequestClass:
     return RequestClass(
-        name=kind.name,
-        aim=int(kind.aim),
-        deadline=int(kind.deadline),
-        effect=_EFFECTS[kind.effect],
-        scope=_SCOPES[kind.group],
-        dedup_window=int(kind.remembered),
-        worth=kind.worth,
-        late_worth=kind.late_worth,
+        name=declared.name,
+        aim=int(declared.aim),
+        deadline=int(declared.deadline),
+        effect=_EFFECTS[declared.effect],
+        scope=_SCOPES[declared.group],
+        dedup_window=int(declared.remembered),
+        worth=declared.worth,
+        late_worth=declared.late_worth,
     )
 
 
-def routes(model: told.Model) -> Routes:
+def routes(model: schema.Model) -> Routes:
     """Where the application's paths lead."""
     return Routes(
-        Route(path_of(kind).encode(), _class(kind), frozenset(method.encode() for method in methods_of(kind)))
-        for kind in model.request_class
+        Route(
+            effective_path(declared).encode(),
+            _request_class(declared),
+            frozenset(method.encode() for method in effective_methods(declared)),
+        )
+        for declared in model.request_class
     )
 
 
-def plan(loaded: Loaded) -> Plan:
+def gateway_options(loaded: Loaded) -> GatewayOptions:
     """What a configuration that has passed the checks is run as."""
     model = loaded.model
-    listen, limits, upstream, app = model.listen.address, model.limits, model.upstream, model.app
-    assert listen is not None
-    beside = None
-    if app.when_gone is not told.WhenGone.IGNORE:
-        beside = Beside(app.pid_file, app.when_gone is told.WhenGone.EXIT)
-    static = model.discovery.source is told.Source.STATIC
-    return Plan(
+    listen_address, limits, upstream, app = model.listen.address, model.limits, model.upstream, model.app
+    assert listen_address is not None
+    application = None
+    if app.when_gone is not schema.WhenGone.IGNORE:
+        application = ServedApplication(app.pid_file, app.when_gone is schema.WhenGone.EXIT)
+    is_static = model.discovery.source is schema.Source.STATIC
+    return GatewayOptions(
         name=app.name,
-        listen=_pair(listen),
+        listen_address=_host_and_port(listen_address),
         settings=settings(model),
         seed=int.from_bytes(os.urandom(8), "big"),
-        known=listed(map(_pair, model.discovery.hosts)) if static else HostList(0, True, ()),
-        hosts=_hosts(model.discovery),
-        reload=_Reload(loaded),
-        connect_time=upstream.connect_time / SECOND,
-        idle_time=upstream.idle_time / SECOND,
-        clients=limits.clients,
-        connections=upstream.connections,
-        known_is_old=False,
+        known_hosts=whole_list(map(_host_and_port, model.discovery.hosts))
+        if is_static
+        else HostList(0, True, ()),
+        create_host_source=_host_source_factory(model.discovery),
+        reload=_Reloader(loaded),
+        connect_timeout=upstream.connect_time / SECOND,
+        idle_timeout=upstream.idle_time / SECOND,
+        max_clients=limits.clients,
+        max_host_connections=upstream.connections,
+        known_hosts_are_stale=False,
         routes=routes(model),
-        attempt_time=int(upstream.attempt_time),
-        buffered=int(limits.buffered),
-        beside=beside,
-        control=_pair(model.listen.control) if model.listen.control is not None else None,
-        listener=inherited(os.environ) if model.listen.inherited else None,
+        attempt_timeout=int(upstream.attempt_time),
+        max_buffered_bytes=int(limits.buffered),
+        application=application,
+        control_address=_host_and_port(model.listen.control) if model.listen.control is not None else None,
+        listener_descriptor=inherited_descriptor(os.environ) if model.listen.inherited else None,
     )
 
 
-def _pair(address: Address) -> tuple[str, int]:
+def _host_and_port(address: Address) -> tuple[str, int]:
     return (address.path, 0) if address.path else (address.host, address.port)
 
 
-def _read(line: str) -> tuple[str, int]:
-    address = Address.read(line)
+def _parse_host(line: str) -> tuple[str, int]:
+    address = Address.parse(line)
     if address.path:
         raise ValueError(f"{line!r} is no host: it has no port")
-    return _pair(address)
+    return _host_and_port(address)
 
 
-def _hosts(discovery: told.Discovery) -> Callable[[Callable[[HostList], None]], Hosts]:
-    if discovery.source is told.Source.FILE:
-        return partial(HostFile, discovery.file, _read)
-    if discovery.source is told.Source.SERVICE:
+def _host_source_factory(discovery: schema.Discovery) -> Callable[[Callable[[HostList], None]], HostSource]:
+    if discovery.source is schema.Source.FILE:
+        return partial(HostFile, discovery.file, _parse_host)
+    if discovery.source is schema.Source.SERVICE:
         assert discovery.address is not None
-        return partial(Discovery, _pair(discovery.address), 0, patience=SERVICE)
-    return _StaticHosts
+        return partial(Discovery, _host_and_port(discovery.address), 0, retry_policy=SERVICE_PATIENCE)
+    return _StaticHostSource
 
 
-class _StaticHosts:
+class _StaticHostSource:
     """Hosts that are named in the operator file; they change with it."""
 
-    def __init__(self, take: Callable[[HostList], None]) -> None:
-        self._take = take
+    def __init__(self, deliver: Callable[[HostList], None]) -> None:
+        self._deliver = deliver
         self._revision = 1
 
     def start(self) -> None:
@@ -178,51 +192,51 @@
     def resume(self, source: str, revision: int) -> None:
         """Its lists are whole ones: there is nothing to go on from."""
 
-    def change(self, addresses: list[Address]) -> None:
+    def replace_hosts(self, addresses: list[Address]) -> None:
         self._revision += 1
-        self._take(listed(map(_pair, addresses), self._revision))
+        self._deliver(whole_list(map(_host_and_port, addresses), self._revision))
 
 
-class _Reload:
+class _Reloader:
     """On SIGHUP: check the file again; take what may change, and tell what waits for a restart."""
 
     def __init__(self, loaded: Loaded) -> None:
-        self._started = self._last = loaded
+        self._started = self._loaded = loaded
 
-    def __call__(self, hosts: Hosts, retune: Retune) -> None:
-        fresh = load(Path(self._started.path), Path(self._started.root))
-        findings = check(fresh)
+    def __call__(self, host_source: HostSource, apply_settings: ApplySettings) -> None:
+        new = load(Path(self._started.path), Path(self._started.root))
+        findings = check(new)
         if findings:
             log.error("reload: refused; going on with what is in force\n%s", "\n".join(map(str, findings)))
             return
-        waiting = [str(change) for change in changes(self._started, fresh) if change.restart]
-        if waiting:
-            log.warning("reload: for the next start\n%s", "\n".join(waiting))
-        news = {change.key for change in changes(self._last, fresh) if not change.restart}
-        last, self._last = self._last, fresh
-        self._follow(last.model.discovery, fresh.model.discovery, hosts)
-        if any(key.startswith(("class", "upstream.")) for key in news):
-            retune(self._tuning(fresh.model))
-
-    def _tuning(self, fresh: told.Model) -> Tuning:
+        deferred = [str(change) for change in changes(self._started, new) if change.needs_restart]
+        if deferred:
+            log.warning("reload: for the next start\n%s", "\n".join(deferred))
+        changed_keys = {change.key for change in changes(self._loaded, new) if not change.needs_restart}
+        previous, self._loaded = self._loaded, new
+        self._update_hosts(previous.model.discovery, new.model.discovery, host_source)
+        if any(key.startswith(("class", "upstream.")) for key in changed_keys):
+            apply_settings(self._runtime_settings(new.model))
+
+    def _runtime_settings(self, new: schema.Model) -> RuntimeSettings:
         """What is in force from now on; limits and the zone are those of the start."""
         started = self._started.model
-        return Tuning(
-            replace(settings(fresh), zone=started.discovery.zone),
-            fresh.upstream.connect_time / SECOND,
-            fresh.upstream.idle_time / SECOND,
+        return RuntimeSettings(
+            replace(settings(new), zone=started.discovery.zone),
+            new.upstream.connect_time / SECOND,
+            new.upstream.idle_time / SECOND,
             started.limits.clients,
             started.upstream.connections,
-            routes(fresh),
-            int(fresh.upstream.attempt_time),
+            routes(new),
+            int(new.upstream.attempt_time),
         )
 
-    def _follow(self, was: told.Discovery, fresh: told.Discovery, hosts: Hosts) -> None:
-        if fresh.source is not self._started.model.discovery.source:
+    def _update_hosts(self, old: schema.Discovery, new: schema.Discovery, host_source: HostSource) -> None:
+        if new.source is not self._started.model.discovery.source:
             return  # told already: it waits for the next start
-        if isinstance(hosts, _StaticHosts) and fresh.hosts != was.hosts:
-            hosts.change(fresh.hosts)
-        elif isinstance(hosts, HostFile):
-            hosts.move(fresh.file)
-        elif isinstance(hosts, Discovery) and fresh.address is not None and fresh.address != was.address:
-            hosts.move(_pair(fresh.address))
+        if isinstance(host_source, _StaticHostSource) and new.hosts != old.hosts:
+            host_source.replace_hosts(new.hosts)
+        elif isinstance(host_source, HostFile):
+            host_source.move(new.file)
+        elif isinstance(host_source, Discovery) and new.address is not None and new.address != old.address:
+            host_source.move(_host_and_port(new.address))
--- a/whinrouter/signals.py
+++ b/whinrouter/signals.py
@@ -15,14 +15,14 @@
 import signal
 from collections.abc import Iterable
 
-ACTED_ON = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
-def hold() -> None:
+def block() -> None:
     """Have the system keep these signals until `release`."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, ACTED_ON)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def release(numbers: Iterable[signal.Signals]) -> None:
+def unblock(handled: Iterable[signal.Signals]) -> None:
     """Handlers of these signals stand: act on what came meanwhile, and from now on at once."""
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, numbers)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, handled)
--- a/whinrouter/slowstart.py
+++ b/whinrouter/slowstart.py
@@ -28,24 +28,24 @@
 
 # With 0.4 and no tokens from answers, the cold half of a fleet did a quarter of what it could, and the warm
 # half stood in a queue for the rest.
-BASE_PART = 0.6
-ANSWERED_PART = 0.8
-SAVED_PART = 0.25
+BASE_RATE_FRACTION = 0.6
+ANSWER_FRACTION = 0.8
+TOKEN_LIFETIME_FRACTION = 0.25
 
 
 class SlowStart:
     """The tokens of one server at one balancer; times in microseconds, work in any one unit."""
 
-    __slots__ = ("_covered", "_granted", "_granted_until", "_updated", "tokens")
+    __slots__ = ("_base_rate_offset", "_granted_cost", "_granted_until", "_refilled_at", "tokens")
 
     def __init__(self, now: int) -> None:
         self.tokens = 0.0
-        self._updated = now
-        self._covered = 0.0  # tokens from answers, in place of which the base rate brings none
-        self._granted = 0.0  # work of the request that may be sent
+        self._refilled_at = now
+        self._base_rate_offset = 0.0  # tokens from answers, in place of which the base rate brings none
+        self._granted_cost = 0.0  # work of the request that may be sent
         self._granted_until = 0
 
-    def admits(self, cost: float, rate: float, lasts: float, now: int, random: Random) -> bool:
+    def admits(self, cost: float, rate: float, lifetime: float, now: int, random: Random) -> bool:
         """Whether a request of so much work may be sent now.
 
         `rate` is the base rate, in work by time; tokens and grants last for `lasts`. A grant stands until
@@ -53,32 +53,32 @@
         """
         if now < self._granted_until:
             return True
-        self._refill(rate, lasts, now)
-        granted = random.random() * cost < self.tokens
+        self._refill(rate, lifetime, now)
+        is_granted = random.random() * cost < self.tokens
         self.tokens = max(0.0, self.tokens - cost)
-        if granted:
-            self._granted, self._granted_until = cost, now + round(lasts)
-        return granted
+        if is_granted:
+            self._granted_cost, self._granted_until = cost, now + round(lifetime)
+        return is_granted
 
-    def sent(self, cost: float) -> None:
+    def record_send(self, cost: float) -> None:
         """A request of so much work was sent; what it is beyond its grant is owed."""
         if not self._granted_until:  # the server is warm
             return
-        self.tokens -= cost - self._granted
-        self._granted, self._granted_until = 0.0, 0
+        self.tokens -= cost - self._granted_cost
+        self._granted_cost, self._granted_until = 0.0, 0
 
-    def answered(self, cost: float, multiple: float) -> None:
+    def record_answer(self, cost: float, multiple: float) -> None:
         """The server has done a request of so much work; `multiple` is that of the settings."""
-        self.tokens += ANSWERED_PART * multiple * cost
-        self._covered += ANSWERED_PART * multiple * cost
+        self.tokens += ANSWER_FRACTION * multiple * cost
+        self._base_rate_offset += ANSWER_FRACTION * multiple * cost
 
-    def _refill(self, rate: float, lasts: float, now: int) -> None:
-        since, self._updated = now - self._updated, now
-        kept = max(0.0, 1 - since / lasts)
+    def _refill(self, rate: float, lifetime: float, now: int) -> None:
+        elapsed, self._refilled_at = now - self._refilled_at, now
+        kept_share = max(0.0, 1 - elapsed / lifetime)
         if self.tokens > 0:
-            self.tokens *= kept
-        self._covered *= kept
-        base = rate * min(since, lasts)
-        covered = min(base, self._covered)
-        self._covered -= covered
-        self.tokens += base - covered
+            self.tokens *= kept_share
+        self._base_rate_offset *= kept_share
+        earned = rate * min(elapsed, lifetime)
+        offset = min(earned, self._base_rate_offset)
+        self._base_rate_offset -= offset
+        self.tokens += earned - offset
--- a/whinrouter/streaming/flow.py
+++ b/whinrouter/streaming/flow.py
@@ -23,15 +23,15 @@
 from enum import Enum
 from typing import Protocol
 
-MOST = 64 * 1024  # bytes that are held for want of a sink, beside one read
+MAX_BUFFERED_BYTES = 64 * 1024  # bytes that are held for want of a sink, beside one read
 # Bytes a second that a client's body comes with at least: half of what the slowest honest one is known for.
-FLOOR = 32_000.0
-GRACE = 2.0  # seconds of silence that a client may have
-STALL = 10.0  # and a host: long waits of theirs were within a few seconds
+MIN_BODY_RATE = 32_000.0
+GRACE_SECONDS = 2.0  # seconds of silence that a client may have
+STALL_SECONDS = 10.0  # and a host: long waits of theirs were within a few seconds
 # Seconds in which whoever takes what is passed on shows that it does. A system tells that its program has
 # read only once a sixteenth of its buffer is free again, and the buffer grows with what was once read fast:
 # readers at `FLOOR` showed nothing for up to 16.3 s in one run and 10.2 in another (`benchmarks.reading`).
-TAKES = 20.0
+READER_TIMEOUT_SECONDS = 20.0
 
 
 class RateFloor:
@@ -44,12 +44,12 @@
 
     __slots__ = ("_floor", "_grace", "due")
 
-    def __init__(self, now: float, grace: float = GRACE, floor: float = FLOOR) -> None:
+    def __init__(self, now: float, grace: float = GRACE_SECONDS, floor: float = MIN_BODY_RATE) -> None:
         """`floor`: bytes a second; 0: any byte earns the whole `grace`."""
         self._grace, self._floor = grace, floor
         self.due = now + grace
 
-    def earn(self, count: int, now: float) -> None:
+    def credit(self, count: int, now: float) -> None:
         """So many bytes have come; that they were read late is not held against the peer."""
         earned = count / self._floor if self._floor else self._grace
         self.due = min(now + self._grace, max(self.due, now) + earned)
@@ -58,29 +58,29 @@
 class Source(Protocol):
     """The connection that a body is read from."""
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Read no more for now."""
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Read again."""
 
-    def unwanted(self) -> None:
+    def cancel_reading(self) -> None:
         """Nobody takes the rest: end it."""
 
 
 class Sink(Protocol):
     """The connection that a body is written to."""
 
-    def take(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Send this on."""
 
-    def took_all(self) -> None:
+    def finish_body(self) -> None:
         """That was all of it."""
 
-    def cut(self) -> None:
+    def abort_body(self) -> None:
         """The rest will not come: end so that the reader can tell."""
 
-    def taken(self) -> int:
+    def bytes_delivered(self) -> int:
         """Bytes that its reader has had by now; -1 if nobody can tell."""
 
 
@@ -101,22 +101,22 @@
         """`length`: bytes of the whole body, as told; None: it is not told. `floor` 0: no floor of rate."""
         self.length = length
         self.stage = Stage.FILLING
-        self.begun = False  # a part of it can't be had again
-        self.came = False  # all of it is here, or has gone on
+        self.is_partly_sent = False  # a part of it can't be had again
+        self.is_received = False  # all of it is here, or has gone on
         self._source = source
         self._sink: Sink | None = None
-        self._kept: list[bytes] = []
-        self._size = 0
-        self._full = False  # the sink has enough
-        self._held = False  # the source reads no more
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
+        self._is_sink_full = False  # the sink has enough
+        self._is_paused = False  # the source reads no more
         self._grace = grace
-        self._pace = RateFloor(now, grace, floor)
-        self._taken = -1  # what the sink's reader had when that was last looked at
+        self._rate_floor = RateFloor(now, grace, floor)
+        self._delivered = -1  # what the sink's reader had when that was last looked at
 
     @property
-    def held(self) -> bool:
+    def is_source_paused(self) -> bool:
         """Whether the source reads no more for now."""
-        return self._held
+        return self._is_paused
 
     @property
     def source(self) -> Source:
@@ -129,84 +129,92 @@
         return self._sink
 
     @property
-    def kept(self) -> bytes:
+    def unsent(self) -> bytes:
         """What was put in and has not gone to the sink."""
-        return b"".join(self._kept)
+        return b"".join(self._buffer)
 
     def release(self) -> None:
         """Somebody else goes on with it: neither side is told anything more."""
-        self.stage, self._sink, self._kept, self._size = Stage.ENDED, None, [], 0
+        self.stage, self._sink, self._buffer, self._buffered_bytes = Stage.ENDED, None, [], 0
 
     def __repr__(self) -> str:
-        gone = "all here" if self.came else "to come"
-        return f"{self.stage.value}, {gone}, {'full' if self._full else 'open'}, {self._size} bytes held"
+        progress = "all here" if self.is_received else "to come"
+        return (
+            f"{self.stage.value}, {progress}, {'sink full' if self._is_sink_full else 'sink open'}, "
+            f"{self._buffered_bytes} bytes buffered"
+        )
 
     def put(self, data: bytes, now: float) -> None:
         """The source has read this."""
-        self._pace.earn(len(data), now)
-        if self.stage is Stage.FLOWING and not self._full and self._sink is not None:
-            self.begun = True
-            self._sink.take(data)
+        self._rate_floor.credit(len(data), now)
+        if self.stage is Stage.FLOWING and not self._is_sink_full and self._sink is not None:
+            self.is_partly_sent = True
+            self._sink.write_body(data)
         elif self.stage in (Stage.FILLING, Stage.FLOWING):
-            self._kept.append(data)
-            self._size += len(data)
-        self._settle(now)
+            self._buffer.append(data)
+            self._buffered_bytes += len(data)
+        self._update_source(now)
 
-    def _settle(self, now: float) -> None:
+    def _update_source(self, now: float) -> None:
         """Hold the source while more would have to be kept, and no longer."""
-        hold = self._full if self.stage is Stage.FLOWING else self._size > MOST
-        if hold and not self._held and not self.came:
-            self._held, self._pace.due = True, now + STALL
-            self._source.hold()
-        elif self._held and not hold:
-            self._held, self._pace.due = False, now + self._grace
-            self._source.go_on()
+        should_pause = (
+            self._is_sink_full if self.stage is Stage.FLOWING else self._buffered_bytes > MAX_BUFFERED_BYTES
+        )
+        if should_pause and not self._is_paused and not self.is_received:
+            self._is_paused, self._rate_floor.due = True, now + STALL_SECONDS
+            self._source.pause_reading()
+        elif self._is_paused and not should_pause:
+            self._is_paused, self._rate_floor.due = False, now + self._grace
+            self._source.resume_reading()
 
     def end(self) -> None:
         """The source has read all of it."""
-        self.came = True
-        if self._held:  # whatever comes behind it is not this body's
-            self._held = False
-            self._source.go_on()
+        self.is_received = True
+        if self._is_paused:  # whatever comes behind it is not this body's
+            self._is_paused = False
+            self._source.resume_reading()
         if self.stage is Stage.DISCARDING:
             self.stage = Stage.ENDED
-        self._pass_end()
+        self._finish_if_sent()
 
-    def _pass_end(self) -> None:
-        if self.came and not self._kept and self.stage is Stage.FLOWING and self._sink is not None:
+    def _finish_if_sent(self) -> None:
+        if self.is_received and not self._buffer and self.stage is Stage.FLOWING and self._sink is not None:
             self.stage = Stage.ENDED
-            self._sink.took_all()
+            self._sink.finish_body()
 
     def attach(self, sink: Sink, now: float) -> None:
         """From now on all of it goes here; what is held goes at once."""
-        self._sink, self.stage, self._full = sink, Stage.FLOWING, False
+        self._sink, self.stage, self._is_sink_full = sink, Stage.FLOWING, False
         self._drain(now)
 
     def _drain(self, now: float) -> None:
-        while self._kept and not self._full and self._sink is not None:
-            data = self._kept.pop(0)
-            self._size -= len(data)
-            self.begun = True
-            self._sink.take(data)
-        self._pass_end()
-        self._settle(now)
+        while self._buffer and not self._is_sink_full and self._sink is not None:
+            data = self._buffer.pop(0)
+            self._buffered_bytes -= len(data)
+            self.is_partly_sent = True
+            self._sink.write_body(data)
+        self._finish_if_sent()
+        self._update_source(now)
 
     def detach(self, now: float) -> None:
         """The sink is gone; another may come if nothing was lost with it."""
         self._sink = None
         if self.stage is Stage.FLOWING:
             self.stage = Stage.FILLING
-            self._full, self._pace.due = False, now + STALL  # not the time of a sink that has left
-            self._settle(now)
+            self._is_sink_full, self._rate_floor.due = (
+                False,
+                now + STALL_SECONDS,
+            )  # not the time of a sink that has left
+            self._update_source(now)
 
-    def full(self, now: float) -> None:
+    def sink_full(self, now: float) -> None:
         """The sink has enough for now."""
-        self._full, self._pace.due = True, now + TAKES
-        self._settle(now)
+        self._is_sink_full, self._rate_floor.due = True, now + READER_TIMEOUT_SECONDS
+        self._update_source(now)
 
-    def room(self, now: float) -> None:
+    def sink_ready(self, now: float) -> None:
         """The sink takes more."""
-        self._full, self._pace.due = False, now + self._grace
+        self._is_sink_full, self._rate_floor.due = False, now + self._grace
         if self.stage is Stage.FLOWING:
             self._drain(now)
 
@@ -214,40 +222,40 @@
         """Nobody wants the rest; the source may read it and drop it."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return
-        self._sink, self._kept, self._size = None, [], 0
-        self.stage = Stage.ENDED if self.came else Stage.DISCARDING
-        self._settle(now)
+        self._sink, self._buffer, self._buffered_bytes = None, [], 0
+        self.stage = Stage.ENDED if self.is_received else Stage.DISCARDING
+        self._update_source(now)
 
     def fail(self) -> None:
         """The source broke."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return
         self.stage, sink = Stage.BROKEN, self._sink
-        self._sink, self._kept, self._size = None, [], 0
+        self._sink, self._buffer, self._buffered_bytes = None, [], 0
         if sink is not None:
-            sink.cut()
+            sink.abort_body()
 
     def cancel(self) -> None:
         """The sink broke for good, and nobody else is to have it."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return
-        self.stage, self._sink, self._kept, self._size = Stage.BROKEN, None, [], 0
-        if not self.came:
-            self._source.unwanted()
+        self.stage, self._sink, self._buffer, self._buffered_bytes = Stage.BROKEN, None, [], 0
+        if not self.is_received:
+            self._source.cancel_reading()
 
-    def overdue(self, now: float) -> bool:
+    def is_overdue(self, now: float) -> bool:
         """Whether whoever is to move it has not for too long."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return False
         # Of one that is here as a whole nobody owes anything but a sink that has enough.
-        if now < self._pace.due or (self.came and not self._full):
+        if now < self._rate_floor.due or (self.is_received and not self._is_sink_full):
             return False
-        if not self._full or self._sink is None:
+        if not self._is_sink_full or self._sink is None:
             return True
         # The system takes more only once a good part of what it holds is gone, some megabytes: a reader of
         # 64 kB a second took longer over that, and was cut off though it read all the time.
-        before, self._taken = self._taken, self._sink.taken()
-        if self._taken <= before:
+        before, self._delivered = self._delivered, self._sink.bytes_delivered()
+        if self._delivered <= before:
             return True
-        self._pace.due = now + TAKES
+        self._rate_floor.due = now + READER_TIMEOUT_SECONDS
         return False
--- a/whinrouter/streaming/remainder.py
+++ b/whinrouter/streaming/remainder.py
@@ -12,7 +12,9 @@
 
 import httptools
 
-MAX_SIZE_LINE = 256  # bytes of a line with a chunk's size that are looked at, to tell what is left of it
+MAX_SIZE_LINE_BYTES = (
+    256  # bytes of a line with a chunk's size that are looked at, to tell what is left of it
+)
 
 
 class Framing(Enum):
@@ -41,7 +43,7 @@
     def descriptor(self) -> int:
         """Its socket's."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Another process holds it: close it here, without a word to the peer."""
 
 
@@ -56,11 +58,13 @@
     not tell, and the line with a chunk's size may have come in an earlier read.
     """
 
-    def __init__(self, left: int | None = None) -> None:
-        self.left = left  # of the present chunk; 0: the next one's size comes next; None: nobody can tell
+    def __init__(self, bytes_left: int | None = None) -> None:
+        self.bytes_left = (
+            bytes_left  # of the present chunk; 0: the next one's size comes next; None: nobody can tell
+        )
         self._at_end = 0  # bytes of the latest read, at its end, that are of a chunk that goes on
-        self._is_between = left == 0  # the parser waits for a chunk's size
-        self._before = b"\r\n" if left == 0 else b""  # the latest bytes that were fed
+        self._is_between = bytes_left == 0  # the parser waits for a chunk's size
+        self._before = b"\r\n" if bytes_left == 0 else b""  # the latest bytes that were fed
 
     def begin_read(self) -> None:
         """A read is fed to the parser."""
@@ -70,7 +74,7 @@
         """The parser gave out so many bytes of a chunk."""
         self._at_end += count
 
-    def chunk_begins(self) -> None:
+    def chunk_started(self) -> None:
         """The line with a chunk's size is whole."""
         self._at_end, self._is_between = 0, False
 
@@ -80,17 +84,17 @@
 
     def end_read(self, data: bytes | memoryview) -> None:
         """The parser has used up a read."""
-        if self._at_end >= len(data) and self.left:
-            self.left = self.left - len(data) or None  # the end of its line is still to come
+        if self._at_end >= len(data) and self.bytes_left:
+            self.bytes_left = self.bytes_left - len(data) or None  # the end of its line is still to come
         else:
             begins = len(data) - self._at_end
-            before = bytes(data[max(0, begins - MAX_SIZE_LINE) : begins])
-            if begins < MAX_SIZE_LINE:
+            before = bytes(data[max(0, begins - MAX_SIZE_LINE_BYTES) : begins])
+            if begins < MAX_SIZE_LINE_BYTES:
                 before = self._before + before
-            self.left = left_of_chunk(before, self._at_end)
-        self._before = (self._before + bytes(data[-MAX_SIZE_LINE:]))[-MAX_SIZE_LINE:]
+            self.bytes_left = chunk_bytes_left(before, self._at_end)
+        self._before = (self._before + bytes(data[-MAX_SIZE_LINE_BYTES:]))[-MAX_SIZE_LINE_BYTES:]
         if self._is_between and self._before.endswith(b"\r\n"):  # nothing of the next size has come
-            self.left = 0
+            self.bytes_left = 0
 
 
 class RemainderReader:
@@ -129,8 +133,8 @@
 
     def remainder(self) -> Remainder | None:
         """What is still to come; None if that can't be told now."""
-        left = self._chunks.left if self._framing is Framing.CHUNKED else self._bytes_left
-        return None if left is None or self.is_whole else Remainder(self._framing, left)
+        bytes_left = self._chunks.bytes_left if self._framing is Framing.CHUNKED else self._bytes_left
+        return None if bytes_left is None or self.is_whole else Remainder(self._framing, bytes_left)
 
     def end(self) -> bool:
         """The connection has ended; whether the body is whole with it."""
@@ -143,7 +147,7 @@
             self._chunks.add(len(data))
 
     def on_chunk_header(self) -> None:
-        self._chunks.chunk_begins()
+        self._chunks.chunk_started()
 
     def on_chunk_complete(self) -> None:
         self._chunks.chunk_ended()
@@ -176,20 +180,20 @@
             return b"connection: close\r\n\r\n"
 
 
-def left_of_chunk(before: bytes, came: int) -> int | None:
+def chunk_bytes_left(before: bytes, received: int) -> int | None:
     """Bytes that are left of a chunk of which so many came; None if that can't be told.
 
     `before`: the raw bytes before them, which end with the line that tells the chunk's size. That line has to
     be there as a whole, with the end of the one before it.
     """
-    if came <= 0 or not before.endswith(b"\r\n"):
+    if received <= 0 or not before.endswith(b"\r\n"):
         return None
     line_begins = before.rfind(b"\r\n", 0, len(before) - 2)
     if line_begins < 0:
         return None
     size = before[line_begins + 2 : -2].split(b";")[0].strip()
     try:
-        left = int(size, 16) - came
+        bytes_left = int(size, 16) - received
     except ValueError:
         return None
-    return left if left > 0 else None
+    return bytes_left if bytes_left > 0 else None
--- a/whinrouter/wire.py
+++ b/whinrouter/wire.py
@@ -55,35 +55,35 @@
 _SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
-def settings(setup: Mapping[str, Any]) -> Settings:
+def parse_settings(setup: Mapping[str, Any]) -> Settings:
     """Read the settings of an instance; unknown keys are passed over, absent ones keep their defaults."""
-    allowed = setup.get("permissions") or {}
-    rules = setup.get("invariants") or {}
+    permissions = setup.get("permissions") or {}
+    invariants = setup.get("invariants") or {}
     fees = setup.get("fees") or {}
     goal = setup.get("goal") or {}
-    reports = setup.get("report") or {}
+    report = setup.get("report") or {}
     balancers = int(setup.get("balancers") or 1)
-    over = setup.get("overShareWorth")
+    over_allowance_worth = setup.get("overShareWorth")
     return Settings(
         classes=tuple(_request_class(entry) for entry in setup.get("classes") or ()),
         zone=str(setup.get("locality") or ""),
         balancers=balancers,
         rank=int(setup.get("rank") or 0),
-        max_attempts=int(allowed.get("maxAttempts") or 1),
-        may_hedge=bool(allowed.get("mayDuplicate")),
-        may_cancel=bool(allowed.get("cancelling")),
-        may_probe=bool(allowed.get("probes")),
-        retry_after=bool(allowed.get("retryAfter")),
+        max_attempts=int(permissions.get("maxAttempts") or 1),
+        may_hedge=bool(permissions.get("mayDuplicate")),
+        may_cancel=bool(permissions.get("cancelling")),
+        may_probe=bool(permissions.get("probes")),
+        sends_retry_after=bool(permissions.get("retryAfter")),
         must_subscribe=setup.get("registryMode") == "subscribe",
-        load_in_answers=reports.get("how") == "piggyback",
-        load_in_probes=reports.get("how") in ("piggyback", "pull"),
+        load_in_answers=report.get("how") == "piggyback",
+        load_in_probes=report.get("how") in ("piggyback", "pull"),
         warm_keys=bool((setup.get("familyInfo") or {}).get("warmKeys")),
-        cold_share=float(rules.get("coldFrom") or 1.0),
-        ramp_time=int(rules.get("rampTime") or 0),
-        fall_multiple=float(rules.get("fallMultiple") or 1.0),
-        fall_time=int(rules.get("fall") or SECOND),
-        sized=setup.get("weightSource") != "live",
-        worst_class=float(goal.get("worstClass") or 0.0) / (float(goal.get("whole") or 0.0) or 1.0),
+        cold_share=float(invariants.get("coldFrom") or 1.0),
+        ramp_time=int(invariants.get("rampTime") or 0),
+        cold_overload_multiple=float(invariants.get("fallMultiple") or 1.0),
+        cold_overload_window=int(invariants.get("fall") or SECOND),
+        weight_is_capacity=setup.get("weightSource") != "live",
+        worst_class_weight=float(goal.get("worstClass") or 0.0) / (float(goal.get("whole") or 0.0) or 1.0),
         cross_zone_price=float(fees.get("crossZone") or 0.0),
         probe_price=float(fees.get("probe") or 0.0),
         allowances={
@@ -91,7 +91,7 @@
             for realm in setup.get("realms") or ()
             if realm.get("allowancePerS")
         },
-        over_share_worth=1.0 if over is None else float(over),
+        over_allowance_worth=1.0 if over_allowance_worth is None else float(over_allowance_worth),
     )
 
 
@@ -116,11 +116,11 @@
         kind=str(entry.get("sku") or ""),
         cell=int(entry.get("group") or 0),
         weight=float(entry.get("rating") or 1.0),
-        started=int(entry.get("readyAt") or 0),
+        started_at=int(entry.get("readyAt") or 0),
     )
 
 
-def event(message: Message) -> Event | None:
+def parse_event(message: Message) -> Event | None:
     """Translate one event; None for one the decisions have no use for."""
     verb = message["verb"]
     if verb == "order":
@@ -158,7 +158,7 @@
     return None
 
 
-def action(gateway: int, action: Action) -> Message:
+def format_action(gateway: int, action: Action) -> Message:
     """Translate one action."""
     match action:
         case Send(request, server, expires):
