--- a/benchmarks/checks.py
+++ b/benchmarks/checks.py
@@ -1,8 +1,9 @@
-"""What it takes to check a whole host's sidecars, and one file on a cold start.
+"""Measures `copperlead sidecar check`: all sidecars of a host in one run, and one file in a new process.
 
     python -m benchmarks.checks
 
-Time and memory for 50 to 400 configurations in one folder, each with two files of its own and one for all.
+Prints time and memory for 50 to 400 configurations in one folder; each consists of two files and includes one
+that all of them share.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 from benchmarks.farm import ROOT
 
-COUNTS = (50, 100, 200, 400)
+SIDECAR_COUNTS = (50, 100, 200, 400)
 ROUNDS = 5
 
 CATALOGUE = """signed_by = "platform owner"
@@ -27,7 +28,7 @@
 effect = "idempotent"
 deadline = "3s"
 """
-SHARED = """[discovery]
+SHARED_FILE = """[discovery]
 hosts = ["10.0.0.4:7001", "10.0.0.5:7001"]
 [[class]]
 name = "page-read"
@@ -37,10 +38,10 @@
 """
 
 
-def lay(folder: Path, count: int) -> None:
-    """So many sidecars of one host."""
+def write_sidecars(folder: Path, count: int) -> None:
+    """Write the configurations of this many sidecars into a folder."""
     (folder / "catalogue.toml").write_text(CATALOGUE)
-    (folder / "shared.toml").write_text(SHARED)
+    (folder / "shared.toml").write_text(SHARED_FILE)
     for number in range(count):
         name = f"app-{number}"
         (folder / f"{name}.local.toml").write_text('[[class]]\nname = "page-read"\naim = "300ms"\n')
@@ -50,32 +51,35 @@
         )
 
 
-def check(path: Path) -> tuple[float, int]:
-    """Seconds from the start of a process to its end, and the most memory that it held, in KiB."""
-    begun = time.monotonic()
+def run_check(path: Path) -> tuple[float, int]:
+    """Check a path in a new process; return its run time in seconds and its peak memory in KiB.
+
+    Raises RuntimeError if the check fails.
+    """
+    started_at = time.monotonic()
     command = [sys.executable, "-m", "whinrouter.operator.cli", "sidecar", "check", str(path)]
     process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL)
-    _, status, used = os.wait4(process.pid, 0)
+    _, status, usage = os.wait4(process.pid, 0)
     process.returncode = os.waitstatus_to_exitcode(status)
     if process.returncode:
-        raise RuntimeError(f"the check of {path} ended with {process.returncode}")
-    return time.monotonic() - begun, used.ru_maxrss
+        raise RuntimeError(f"the check of {path} exited with {process.returncode}")
+    return time.monotonic() - started_at, usage.ru_maxrss
 
 
 def main() -> None:
-    print("| what | seconds | for each, ms | memory, MiB |\n| --- | --- | --- | --- |")
-    with tempfile.TemporaryDirectory() as name:
-        for count in COUNTS:
-            folder = Path(name) / str(count)
+    print("| checked | seconds | ms per sidecar | memory, MiB |\n| --- | --- | --- | --- |")
+    with tempfile.TemporaryDirectory() as temporary:
+        for count in SIDECAR_COUNTS:
+            folder = Path(temporary) / str(count)
             folder.mkdir()
-            lay(folder, count)
-            if count == COUNTS[0]:
-                took = [check(folder / "app-0.toml") for _ in range(ROUNDS)]
-                seconds = statistics.median(one for one, _ in took)
-                print(f"| one file, cold start | {seconds:.3f} | | {took[0][1] / 1024:.0f} |")
-            took = [check(folder) for _ in range(ROUNDS)]
-            seconds = statistics.median(one for one, _ in took)
-            memory = max(one for _, one in took) / 1024
+            write_sidecars(folder, count)
+            if count == SIDECAR_COUNTS[0]:
+                results = [run_check(folder / "app-0.toml") for _ in range(ROUNDS)]
+                seconds = statistics.median(elapsed for elapsed, _ in results)
+                print(f"| one file, cold start | {seconds:.3f} | | {results[0][1] / 1024:.0f} |")
+            results = [run_check(folder) for _ in range(ROUNDS)]
+            seconds = statistics.median(elapsed for elapsed, _ in results)
+            memory = max(peak_kib for _, peak_kib in results) / 1024
             print(
                 f"| {count} sidecars | {seconds:.3f} | {seconds / count * 1000:.2f} | {memory:.0f} |",
                 flush=True,
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -1,12 +1,12 @@
-"""How many requests are sent on although their client has left while they waited, and how late.
+"""Counts the requests that are forwarded although their client left while they waited, and how late.
 
-    python -m benchmarks.leaving            25 cases in each of eight places, half by FIN and half by RST
-    python -m benchmarks.leaving --quick    5 in each
+    python -m benchmarks.leaving            25 cases of each of eight scenarios, half by FIN and half by RST
+    python -m benchmarks.leaving --quick    5 of each
 
-A gateway in a process of its own; clients and hosts are here, on real sockets. Each place is a way to wait:
-the peers bring it about from outside, so that what is built is measured, whichever way it is built. A case
-counts if its request had not been sent on as its client left; late is what a host hears of it more than 0.1 s
-after that.
+The gateway runs in its own process; clients and hosts run in this one, on real sockets. Each scenario is a
+way in which a request waits. It is produced from outside, by the peers, so that it does not depend on how the
+gateway is built. A case counts if its request had not been forwarded when its client left; it is late if a
+host receives the request more than 0.1 s after that.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 from benchmarks.farm import ROOT, free_port, gateway_command
 
-LATE = 0.1  # seconds, of the operators' term
+LATE_SECONDS = 0.1  # the operators' limit for an attempt after its client has left
 CLASSES = [
     {"name": "read", "effect": "idempotent", "giveUp": 20_000_000, "onTime": 400_000, "worth": 3.0},
     {"name": "buy", "effect": "at_most_once", "giveUp": 20_000_000, "onTime": 400_000, "worth": 8.0},
@@ -37,178 +37,194 @@
 PERMISSIONS = {
     "maxAttempts": 5, "mayDuplicate": True, "cancelling": True, "dialTimeout": 3_000_000,
 }  # fmt: skip
-NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
-LARGE = b"HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n" + bytes(8_000_000)
+NOT_RUN_ANSWER = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+SMALL_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
+LARGE_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n" + bytes(8_000_000)
 
 
 @dataclass
-class Heard:
-    """What hosts heard, and when; ids are in the requests' heads."""
+class HostLog:
+    """The times at which hosts received each request, and the connections, by request id."""
 
-    at: dict[str, list[float]] = field(default_factory=dict)
-    askers: dict[str, asyncio.StreamWriter] = field(default_factory=dict)
+    received_at: dict[str, list[float]] = field(default_factory=dict)
+    writers: dict[str, asyncio.StreamWriter] = field(default_factory=dict)
 
     async def host(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take requests; nothing is answered but when a play says so."""
+        """Record requests, and answer none: a scenario writes the answers that it needs."""
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             while data := await reader.read(1 << 16):
                 now = time.monotonic()
                 for line in data.split(b"\r\n"):
                     name, _, value = line.partition(b": ")
                     if name.lower() == b"x-request-id":
-                        self.at.setdefault(value.decode(), []).append(now)
-                        self.askers[value.decode()] = writer
+                        self.received_at.setdefault(value.decode(), []).append(now)
+                        self.writers[value.decode()] = writer
         writer.close()
 
-    async def until(self, *ids: str) -> None:
-        while any(name not in self.at for name in ids):
+    async def wait_for(self, *ids: str) -> None:
+        """Wait until hosts have received each of these requests."""
+        while any(name not in self.received_at for name in ids):
             await asyncio.sleep(0.005)
 
 
 @dataclass
-class Place:
-    """One play: who left, and when; `first` is how often each had been sent on by then."""
+class CaseLog:
+    """When the client of each case left, and how often its request may have been forwarded by then."""
 
-    left: dict[str, float] = field(default_factory=dict)
-    first: int = 0
+    left_at: dict[str, float] = field(default_factory=dict)
+    sends_expected: int = 0
 
-    def leave(self, name: str, client: socket.socket, by_reset: bool) -> None:
-        if by_reset:
+    def disconnect(self, name: str, client: socket.socket, is_reset: bool) -> None:
+        """Close a client's connection, by RST or by FIN, and record when."""
+        if is_reset:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
-        self.left[name] = time.monotonic()
+        self.left_at[name] = time.monotonic()
 
 
 @dataclass
-class Scene:
-    """A gateway before hosts that hear, or before such as no connection comes up to yet."""
+class Scenario:
+    """A gateway in front of hosts that are reachable, or that complete no connection yet."""
 
-    heard: Heard
+    host_log: HostLog
     port: int
     pid: int
-    cases: int
-    free: Callable[[], None]  # lets connections to hosts come up
+    case_count: int
+    accept_connections: Callable[[], None]  # lets the hosts complete connections
 
-    def client(self, room: int = 0) -> socket.socket:
+    def client(self, receive_buffer: int = 0) -> socket.socket:
+        """Return a new connection to the gateway, with a receive buffer of this size if one is given."""
         client = socket.socket()
-        if room:
-            client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
+        if receive_buffer:
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         client.connect(("127.0.0.1", self.port))
         return client
 
 
-def text(name: str, kind: str = "read", body: int = 0, here: int | None = None) -> bytes:
-    """A request, of whose body so many bytes are sent."""
-    method = "GET" if kind == "read" else "POST"
-    head = f"{method} /{kind} HTTP/1.1\r\nHost: a\r\nX-Request-Id: {name}\r\nX-Class: {kind}\r\n"
+def request_bytes(
+    name: str, request_class: str = "read", body: int = 0, sent_bytes: int | None = None
+) -> bytes:
+    """Return a request with the first `sent_bytes` bytes of its body; None: the whole body."""
+    method = "GET" if request_class == "read" else "POST"
+    head = (
+        f"{method} /{request_class} HTTP/1.1\r\n"
+        f"Host: a\r\nX-Request-Id: {name}\r\nX-Class: {request_class}\r\n"
+    )
     if method == "POST":
         head += f"Content-Length: {body}\r\n"
-    return head.encode() + b"\r\n" + bytes(body if here is None else here)
+    return head.encode() + b"\r\n" + bytes(body if sent_bytes is None else sent_bytes)
 
 
-async def connection_late(scene: Scene, place: Place) -> None:
-    """Its connection to a host comes up after it has left."""
-    clients = [(f"late-{at}", scene.client()) for at in range(scene.cases)]
-    for at, (name, client) in enumerate(clients):
-        client.sendall(text(name, "read" if at % 2 else "buy"))
+async def connection_late(scenario: Scenario, case_log: CaseLog) -> None:
+    """The connection to a host is established after the client has left."""
+    clients = [(f"late-{index}", scenario.client()) for index in range(scenario.case_count)]
+    for index, (name, client) in enumerate(clients):
+        client.sendall(request_bytes(name, "read" if index % 2 else "buy"))
     await asyncio.sleep(0.2)
-    for at, (name, client) in enumerate(clients):
-        place.leave(name, client, bool(at % 4 // 2))
-    scene.free()
+    for index, (name, client) in enumerate(clients):
+        case_log.disconnect(name, client, bool(index % 4 // 2))
+    scenario.accept_connections()
 
 
-async def half_a_body(scene: Scene, place: Place) -> None:
-    """Half of its body is here, nothing more is read, and no connection to a host is up."""
-    clients = [(f"half-{at}", scene.client()) for at in range(scene.cases)]
+async def half_a_body(scenario: Scenario, case_log: CaseLog) -> None:
+    """The gateway has a part of the body and reads no more, and no connection to a host is established."""
+    clients = [(f"half-{index}", scenario.client()) for index in range(scenario.case_count)]
     for name, client in clients:
-        client.sendall(text(name, "buy", 400_000, 150_000))
+        client.sendall(request_bytes(name, "buy", 400_000, 150_000))
     await asyncio.sleep(0.3)
-    for at, (name, client) in enumerate(clients):
-        place.leave(name, client, bool(at % 2))
-    scene.free()
+    for index, (name, client) in enumerate(clients):
+        case_log.disconnect(name, client, bool(index % 2))
+    scenario.accept_connections()
 
 
-async def behind_another(scene: Scene, place: Place) -> None:
-    """It came behind another request, whose answer comes after it has left."""
-    clients = [(f"behind-{at}", scene.client()) for at in range(scene.cases)]
+async def behind_another(scenario: Scenario, case_log: CaseLog) -> None:
+    """The request follows another on its connection, which is answered after the client has left."""
+    clients = [(f"behind-{index}", scenario.client()) for index in range(scenario.case_count)]
     for name, client in clients:
-        client.sendall(text(f"before-{name}") + text(name, "buy"))
-    await scene.heard.until(*(f"before-{name}" for name, _ in clients))
-    for at, (name, client) in enumerate(clients):
-        place.leave(name, client, bool(at % 2))
-        scene.heard.askers[f"before-{name}"].write(PAGE)
-
-
-async def before_a_repeat(scene: Scene, place: Place) -> None:
-    """Its first attempt is turned away as it leaves."""
-    place.first = 1
-    clients = [(f"again-{at}", scene.client()) for at in range(scene.cases)]
-    for at, (name, client) in enumerate(clients):
-        client.sendall(text(name, "read" if at % 2 else "buy"))
-    await scene.heard.until(*(name for name, _ in clients))
-    for at, (name, client) in enumerate(clients):
-        place.leave(name, client, bool(at % 4 // 2))
-        scene.heard.askers[name].write(NOT_RUN)
-
-
-async def before_a_copy(scene: Scene, place: Place) -> None:
-    """Its first attempt is silent, and a copy is due a while after it has left."""
-    place.first = 1
-    clients = [(f"copy-{at}", scene.client()) for at in range(scene.cases)]
+        client.sendall(request_bytes(f"before-{name}") + request_bytes(name, "buy"))
+    await scenario.host_log.wait_for(*(f"before-{name}" for name, _ in clients))
+    for index, (name, client) in enumerate(clients):
+        case_log.disconnect(name, client, bool(index % 2))
+        scenario.host_log.writers[f"before-{name}"].write(SMALL_ANSWER)
+
+
+async def before_a_repeat(scenario: Scenario, case_log: CaseLog) -> None:
+    """The first attempt is turned away when the client leaves."""
+    case_log.sends_expected = 1
+    clients = [(f"again-{index}", scenario.client()) for index in range(scenario.case_count)]
+    for index, (name, client) in enumerate(clients):
+        client.sendall(request_bytes(name, "read" if index % 2 else "buy"))
+    await scenario.host_log.wait_for(*(name for name, _ in clients))
+    for index, (name, client) in enumerate(clients):
+        case_log.disconnect(name, client, bool(index % 4 // 2))
+        scenario.host_log.writers[name].write(NOT_RUN_ANSWER)
+
+
+async def before_a_copy(scenario: Scenario, case_log: CaseLog) -> None:
+    """The first attempt gets no answer, and a hedge is due some time after the client has left."""
+    case_log.sends_expected = 1
+    clients = [(f"copy-{index}", scenario.client()) for index in range(scenario.case_count)]
     for name, client in clients:
-        client.sendall(text(name))
-    await scene.heard.until(*(name for name, _ in clients))
-    for at, (name, client) in enumerate(clients):
-        place.leave(name, client, bool(at % 2))
+        client.sendall(request_bytes(name))
+    await scenario.host_log.wait_for(*(name for name, _ in clients))
+    for index, (name, client) in enumerate(clients):
+        case_log.disconnect(name, client, bool(index % 2))
 
 
-async def answer_unread(scene: Scene, place: Place) -> None:
-    """It waits behind an answer that its client has not read."""
-    clients = [(f"unread-{at}", scene.client(4096)) for at in range(scene.cases)]
+async def answer_unread(scenario: Scenario, case_log: CaseLog) -> None:
+    """The request waits behind an answer that its client has not read."""
+    clients = [(f"unread-{index}", scenario.client(4096)) for index in range(scenario.case_count)]
     for name, client in clients:
-        client.sendall(text(f"large-{name}") + text(name, "buy"))
-    await scene.heard.until(*(f"large-{name}" for name, _ in clients))
+        client.sendall(request_bytes(f"large-{name}") + request_bytes(name, "buy"))
+    await scenario.host_log.wait_for(*(f"large-{name}" for name, _ in clients))
     for name, _ in clients:
-        scene.heard.askers[f"large-{name}"].write(LARGE)
+        scenario.host_log.writers[f"large-{name}"].write(LARGE_ANSWER)
     await asyncio.sleep(0.5)
-    for at, (name, client) in enumerate(clients):
-        place.leave(name, client, bool(at % 2))
+    for index, (name, client) in enumerate(clients):
+        case_log.disconnect(name, client, bool(index % 2))
 
 
-async def unread(scene: Scene, place: Place) -> None:
-    """The gateway is stopped; it asks and leaves."""
-    clients = [(f"stopped-{at}", scene.client()) for at in range(scene.cases)]
+async def unread(scenario: Scenario, case_log: CaseLog) -> None:
+    """The gateway's process is stopped while the client sends its request and leaves."""
+    clients = [(f"stopped-{index}", scenario.client()) for index in range(scenario.case_count)]
     await asyncio.sleep(0.2)
-    os.kill(scene.pid, signal.SIGSTOP)
-    for at, (name, client) in enumerate(clients):
-        client.sendall(text(name, "read" if at % 2 else "buy"))
-        place.leave(name, client, bool(at % 4 // 2))
-    await asyncio.sleep(LATE + 0.2)
-    os.kill(scene.pid, signal.SIGCONT)
-
-
-async def not_accepted(scene: Scene, place: Place) -> None:
-    """The same with a connection that was never accepted."""
-    os.kill(scene.pid, signal.SIGSTOP)
-    for at in range(scene.cases):
-        client = scene.client()
-        client.sendall(text(f"queue-{at}", "read" if at % 2 else "buy"))
-        place.leave(f"queue-{at}", client, bool(at % 4 // 2))
-    await asyncio.sleep(LATE + 0.2)
-    os.kill(scene.pid, signal.SIGCONT)
-
-
-Play = Callable[[Scene, Place], Awaitable[None]]
-UP: tuple[Play, ...] = (before_a_repeat, behind_another, before_a_copy, answer_unread, unread, not_accepted)
-DOWN: tuple[Play, ...] = (connection_late, half_a_body)
+    os.kill(scenario.pid, signal.SIGSTOP)
+    for index, (name, client) in enumerate(clients):
+        client.sendall(request_bytes(name, "read" if index % 2 else "buy"))
+        case_log.disconnect(name, client, bool(index % 4 // 2))
+    await asyncio.sleep(LATE_SECONDS + 0.2)
+    os.kill(scenario.pid, signal.SIGCONT)
+
+
+async def not_accepted(scenario: Scenario, case_log: CaseLog) -> None:
+    """As `unread`, with a connection that the gateway has not accepted."""
+    os.kill(scenario.pid, signal.SIGSTOP)
+    for index in range(scenario.case_count):
+        client = scenario.client()
+        client.sendall(request_bytes(f"queue-{index}", "read" if index % 2 else "buy"))
+        case_log.disconnect(f"queue-{index}", client, bool(index % 4 // 2))
+    await asyncio.sleep(LATE_SECONDS + 0.2)
+    os.kill(scenario.pid, signal.SIGCONT)
+
+
+ScenarioFunction = Callable[[Scenario, CaseLog], Awaitable[None]]
+REACHABLE_SCENARIOS: tuple[ScenarioFunction, ...] = (
+    before_a_repeat,
+    behind_another,
+    before_a_copy,
+    answer_unread,
+    unread,
+    not_accepted,
+)
+UNREACHABLE_SCENARIOS: tuple[ScenarioFunction, ...] = (connection_late, half_a_body)
 
 
 @contextmanager
-def _gateway(members: list[dict[str, object]]) -> Iterator[tuple[int, int]]:
+def _run_gateway(members: list[dict[str, object]]) -> Iterator[tuple[int, int]]:
+    """Run a gateway process in front of these hosts; yields its port and its process id."""
     with tempfile.TemporaryDirectory() as folder:
         config, port = Path(folder) / "config.json", free_port()
-        told = {
+        document = {
             "name": "n0",
             "listen": f"127.0.0.1:{port}",
             "discovery": "127.0.0.1:1",
@@ -216,7 +232,7 @@
             "known": {"revision": 1, "complete": True, "members": members},
             "settings": {"classes": CLASSES, "permissions": PERMISSIONS},
         }
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(document))
         child = subprocess.Popen(
             gateway_command(ROOT),
             cwd=ROOT,
@@ -230,7 +246,7 @@
             child.wait()
 
 
-async def _up(port: int) -> None:
+async def _wait_until_listening(port: int) -> None:
     async with asyncio.timeout(30):
         while True:
             with contextlib.suppress(OSError):
@@ -240,8 +256,8 @@
             await asyncio.sleep(0.05)
 
 
-def _shut(stack: ExitStack) -> tuple[socket.socket, list[socket.socket]]:
-    """A host whose queue of connections is full, and who fills it."""
+def _unreachable_host(stack: ExitStack) -> tuple[socket.socket, list[socket.socket]]:
+    """Return a listener whose backlog is full, and the connections that fill it."""
     listener = stack.enter_context(socket.socket())
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
@@ -252,50 +268,65 @@
     return listener, fillers
 
 
-async def _play(play: Play, cases: int, shut: bool) -> str:
-    heard, place, loop = Heard(), Place(), asyncio.get_running_loop()
+async def _run_scenario(run: ScenarioFunction, case_count: int, is_unreachable: bool) -> str:
+    """Run a scenario against a new gateway; return the line to print."""
+    host_log, case_log, loop = HostLog(), CaseLog(), asyncio.get_running_loop()
     with ExitStack() as stack:
         hosts = [
-            _shut(stack) if shut else (socket.create_server(("127.0.0.1", 0)), []) for _ in range(2 * cases)
+            _unreachable_host(stack) if is_unreachable else (socket.create_server(("127.0.0.1", 0)), [])
+            for _ in range(2 * case_count)
         ]
         members: list[dict[str, object]] = [
-            {"id": f"s-{at}", "host_port": f"127.0.0.1:{host.getsockname()[1]}", "phase": "Ready"}
-            for at, (host, _) in enumerate(hosts)
+            {"id": f"s-{index}", "host_port": f"127.0.0.1:{host.getsockname()[1]}", "phase": "Ready"}
+            for index, (host, _) in enumerate(hosts)
         ]
         tasks = []
 
-        def free() -> None:
+        def accept_connections() -> None:
             for host, fillers in hosts:
                 for filler in fillers:
                     filler.close()
                 host.listen(128)
-                tasks.append(loop.create_task(asyncio.start_server(heard.host, sock=host)))
-
-        if not shut:
-            free()
-        port, pid = stack.enter_context(_gateway(members))
-        await _up(port)
-        await play(Scene(heard, port, pid, cases, free), place)
-        await asyncio.sleep(3.0)  # a connection that was not taken up is tried again after 1 s
+                tasks.append(loop.create_task(asyncio.start_server(host_log.host, sock=host)))
+
+        if not is_unreachable:
+            accept_connections()
+        port, pid = stack.enter_context(_run_gateway(members))
+        await _wait_until_listening(port)
+        await run(Scenario(host_log, port, pid, case_count, accept_connections), case_log)
+        await asyncio.sleep(3.0)  # the kernel repeats an unanswered SYN after 1 s
         for task in tasks:
             (await task).close()
-    waiting = {name: left for name, left in place.left.items() if _before(heard, name, left) <= place.first}
-    behind = [at - left for name, left in waiting.items() for at in heard.at.get(name, []) if at > left]
-    late = sum(after > LATE for after in behind)
-    longest = f", the longest {max(behind):.3f} s after" if behind else ""
-    return f"{play.__name__:16} {len(waiting):3} cases, {len(behind)} sent on, {late} of them late{longest}"
-
-
-def _before(heard: Heard, name: str, left: float) -> int:
-    return sum(at <= left for at in heard.at.get(name, []))
+    left_by_case = {
+        name: left_at
+        for name, left_at in case_log.left_at.items()
+        if _count_sent_by(host_log, name, left_at) <= case_log.sends_expected
+    }
+    delays = [
+        received_at - left_at
+        for name, left_at in left_by_case.items()
+        for received_at in host_log.received_at.get(name, [])
+        if received_at > left_at
+    ]
+    late = sum(seconds > LATE_SECONDS for seconds in delays)
+    longest = f", the longest {max(delays):.3f} s after" if delays else ""
+    return (
+        f"{run.__name__:16} {len(left_by_case):3} cases, "
+        f"{len(delays)} forwarded, {late} of them late{longest}"
+    )
+
+
+def _count_sent_by(host_log: HostLog, name: str, moment: float) -> int:
+    """Return how often hosts had received a request by a moment."""
+    return sum(received_at <= moment for received_at in host_log.received_at.get(name, []))
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--quick", action="store_true")
-    cases = 5 if parser.parse_args().quick else 25
-    for play in (*UP, *DOWN):
-        print(asyncio.run(_play(play, cases, play in DOWN)), flush=True)
+    case_count = 5 if parser.parse_args().quick else 25
+    for run in (*REACHABLE_SCENARIOS, *UNREACHABLE_SCENARIOS):
+        print(asyncio.run(_run_scenario(run, case_count, run in UNREACHABLE_SCENARIOS)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,13 +1,13 @@
-"""What each part of a request's way costs, without sockets: the parts in one process, one after the other.
+"""Measures the cost of each step of a request without sockets: all steps in one process, one after the other.
 
     python -m benchmarks.parts [--hosts N]
 
-As the package was built last, that is compiled:
+With the compiled package of the last build:
 
     PYTHONSAFEPATH=1 PYTHONPATH=.venv/lib/python3.11/site-packages:. .venv/bin/python -m benchmarks.parts
 
-Each figure is the least of some rounds, in microseconds a request. Where even that is noisy, instructions are
-counted instead, if valgrind is there (some minutes):
+Each result is the minimum of several rounds, in microseconds per request. Where even that is noisy, count
+instructions instead, which needs valgrind and takes some minutes:
 
     python -m benchmarks.parts --instructions
 """
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.farm import ROOT, request_text
+from benchmarks.farm import ROOT, encode_request
 from whinrouter.balance import Balancer
 from whinrouter.interface import (
     MS,
@@ -50,59 +50,63 @@
 
 READ = RequestClass("page-read", 400 * MS, 1_500 * MS, Effect.IDEMPOTENT, worth=3)
 SETTINGS = Settings((READ,), max_attempts=5, may_hedge=True, may_cancel=True)
-ROUNDS, COUNT = 7, 2000
+ROUNDS, REQUESTS_PER_ROUND = 7, 2000
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2000\r\n\r\n" + b"x" * 2000
 
-Part = Callable[[int], None]  # does the work of so many requests
+Step = Callable[[int], None]  # runs the step for this many requests
 
 
-def front(gateway: Gateway) -> Part:
-    """A request's bytes to what it asks for."""
-    frontend, reader, text = Frontend(gateway, SETTINGS, 100), RequestReader(), request_text("9b1f03aa")
+def interpretation_step(gateway: Gateway) -> Step:
+    """Return the step from a request's bytes to its interpretation."""
+    frontend, reader, request_bytes = (
+        Frontend(gateway, SETTINGS, 100),
+        RequestReader(),
+        encode_request("9b1f03aa"),
+    )
 
     def run(count: int) -> None:
         for _ in range(count):
-            frontend.interpreter.interpret(reader.feed(text)[0], 0.0)
+            frontend.interpreter.interpret(reader.feed(request_bytes)[0], 0.0)
 
     return run
 
 
-def module(hosts: int) -> Part:
-    """The decisions on a request that is served at its first attempt."""
+def decision_step(hosts: int) -> Step:
+    """Return the step of the decision module, for a request that is served by its first attempt."""
     balancer = Balancer(SETTINGS, seed=1)
     balancer.handle(ServerList(Update.FULL, tuple(Server(id=number) for number in range(hosts))), 0)
-    now, request = 10**9, 0
+    now_us, request_id = 10**9, 0
 
     def run(count: int) -> None:
-        nonlocal now, request
+        nonlocal now_us, request_id
         for _ in range(count):
-            request += 1
-            now += 1000
-            for action in balancer.handle(Request(request, "page-read", 1_485 * MS), now):
+            request_id += 1
+            now_us += 1000
+            for action in balancer.handle(Request(request_id, "page-read", 1_485 * MS), now_us):
                 if isinstance(action, Send):
                     server = action.server
-            balancer.handle(AttemptEnded(request, 0, server, Outcome.OK, 900, True), now + 900)
+            balancer.handle(AttemptEnded(request_id, 0, server, Outcome.OK, 900, True), now_us + 900)
 
     return run
 
 
-class _Target:
-    """A host that is sent nothing."""
+class _IdleHost:
+    """A host that receives nothing, with the attributes that an attempt uses."""
 
     def __init__(self, member: Member) -> None:
         self.member = member
         self.connecting: set[Attempt] = set()
 
 
-class _Known:
-    """A sender that sends nothing: whoever holds it ends the attempts."""
+class _NullSender:
+    """A sender without connections: it only keeps the attempts, and the gateway step ends them."""
 
     def __init__(self) -> None:
-        self.waiting: list[Attempt] = []
-        self._targets: dict[ServerId, _Target] = {}
+        self.attempts: list[Attempt] = []
+        self._idle_hosts: dict[ServerId, _IdleHost] = {}
 
     def update(self, members: Iterable[Member], complete: bool) -> None:
-        self._targets = {member.server.id: _Target(member) for member in members}
+        self._idle_hosts = {member.server.id: _IdleHost(member) for member in members}
 
     def send(
         self,
@@ -116,20 +120,28 @@
         may_begin: MayBeginCheck | None = None,
     ) -> Attempt | None:
         attempt = Attempt(
-            self._targets[server], message, expires_at, on_ended, owner, number, 0.0, on_streaming, may_begin
+            self._idle_hosts[server],
+            message,
+            expires_at,
+            on_ended,
+            owner,
+            number,
+            0.0,
+            on_streaming,
+            may_begin,
         )
-        self.waiting.append(attempt)
+        self.attempts.append(attempt)
         return attempt
 
 
-def driver(hosts: int) -> Part:
-    """The same with the driver round it: events, timers, deadlines."""
-    upstream = _Known()
+def gateway_step(hosts: int) -> Step:
+    """Return the step of the gateway around the decision module: events, timers, deadlines."""
+    upstream = _NullSender()
     gateway = Gateway(Balancer(SETTINGS, seed=1), upstream)
     members = tuple(Member(Server(id=number), ("127.0.0.1", 9)) for number in range(hosts))
     gateway.update_hosts(HostList(1, True, members))
     interpreter = Frontend(gateway, SETTINGS, 100).interpreter
-    asked = interpreter.interpret(RequestReader().feed(request_text("9b1f03aa"))[0], 0.0)
+    request = interpreter.interpret(RequestReader().feed(encode_request("9b1f03aa"))[0], 0.0)
     answer = ResponseReader().feed(ANSWER)[0]
 
     def reply(answer: Answer) -> None:
@@ -137,15 +149,15 @@
 
     def run(count: int) -> None:
         for _ in range(count):
-            gateway.submit_request(asked, reply)
-            upstream.waiting.pop().end(Outcome.OK, answer)
+            gateway.submit_request(request, reply)
+            upstream.attempts.pop().end(Outcome.OK, answer)
 
     return run
 
 
-def text() -> Part:
-    """The request as a host gets it, its answer read, and the answer as the client gets it."""
-    reader, request = ResponseReader(), RequestReader().feed(request_text("9b1f03aa"))[0]
+def serialization_step() -> Step:
+    """Return the step that serializes a request, parses its answer, and serializes that for the client."""
+    reader, request = ResponseReader(), RequestReader().feed(encode_request("9b1f03aa"))[0]
 
     def run(count: int) -> None:
         for _ in range(count):
@@ -157,44 +169,53 @@
     return run
 
 
-def parts(hosts: int) -> dict[str, Part]:
-    """By name; the driver's figure holds the module's."""
+def make_steps(hosts: int) -> dict[str, Step]:
+    """Return the steps by name; the cost of `driver` includes that of `module`."""
     gateway = Gateway(Balancer(SETTINGS, seed=1), ConnectionPool(1.0, 60.0, 100))
-    return {"front": front(gateway), "module": module(hosts), "driver": driver(hosts), "text": text()}
+    return {
+        "front": interpretation_step(gateway),
+        "module": decision_step(hosts),
+        "driver": gateway_step(hosts),
+        "text": serialization_step(),
+    }
 
 
-def _least(part: Part) -> float:
-    part(COUNT)
+def _min_microseconds(step: Step) -> float:
+    """Return the microseconds per request in the fastest round, after a round to warm up."""
+    step(REQUESTS_PER_ROUND)
     times = []
     for _ in range(ROUNDS):
-        begun = time.perf_counter()
-        part(COUNT)
-        times.append(time.perf_counter() - begun)
-    return min(times) / COUNT * 1e6
+        started_at = time.perf_counter()
+        step(REQUESTS_PER_ROUND)
+        times.append(time.perf_counter() - started_at)
+    return min(times) / REQUESTS_PER_ROUND * 1e6
 
 
-def _instructions(name: str, hosts: int, count: int) -> int:
+def _count_instructions(name: str, hosts: int, count: int) -> int:
+    """Return the instructions that a process executes which runs one step this many times."""
     with tempfile.TemporaryDirectory() as folder:
-        out = Path(folder) / "out"
-        command = ["valgrind", "--tool=callgrind", f"--callgrind-out-file={out}", sys.executable, "-m"]
+        output = Path(folder) / "out"
+        command = ["valgrind", "--tool=callgrind", f"--callgrind-out-file={output}", sys.executable, "-m"]
         command += ["benchmarks.parts", "--hosts", str(hosts), "--only", name, "--count", str(count)]
         subprocess.run(command, cwd=ROOT, check=True, capture_output=True)
-        found = re.search(r"^(?:summary|totals): (\d+)", out.read_text(), re.MULTILINE)
-    assert found
-    return int(found[1])
+        total = re.search(r"^(?:summary|totals): (\d+)", output.read_text(), re.MULTILINE)
+    assert total
+    return int(total[1])
 
 
-async def _main(told: argparse.Namespace) -> None:
-    here = parts(told.hosts)
-    if told.only:
-        here[told.only](told.count)
+async def _main(arguments: argparse.Namespace) -> None:
+    steps = make_steps(arguments.hosts)
+    if arguments.only:
+        steps[arguments.only](arguments.count)
         return
-    for name, part in here.items():
-        if told.instructions:
-            spent = _instructions(name, told.hosts, 600) - _instructions(name, told.hosts, 100)
-            print(f"{name}: {spent / 500 / 1000:.1f} thousand instructions")
+    for name, step in steps.items():
+        if arguments.instructions:
+            instructions = _count_instructions(name, arguments.hosts, 600) - _count_instructions(
+                name, arguments.hosts, 100
+            )
+            print(f"{name}: {instructions / 500 / 1000:.1f} thousand instructions")
         else:
-            print(f"{name}: {_least(part):.1f} µs")
+            print(f"{name}: {_min_microseconds(step):.1f} µs")
 
 
 def main() -> None:
@@ -204,7 +225,7 @@
     parser.add_argument("--hosts", type=int, default=12)
     parser.add_argument("--instructions", action="store_true")
     parser.add_argument("--only", help=argparse.SUPPRESS)
-    parser.add_argument("--count", type=int, default=COUNT, help=argparse.SUPPRESS)
+    parser.add_argument("--count", type=int, default=REQUESTS_PER_ROUND, help=argparse.SUPPRESS)
     asyncio.run(_main(parser.parse_args()))
 
 
--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of real gateway processes on loopback under overlapping troubles, judged from outside and inside."""
+"""A soak of real gateway processes on loopback: overlapping disruptions, checked from outside and inside."""
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients: honest ones with their accounts, and some that are not."""
+"""Simulated clients: well-behaved ones whose requests the ledger records, and misbehaving ones."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 import httptools
 
-from benchmarks.soak.ledger import AskedRequest, ClassRules, Ledger, Violation
+from benchmarks.soak.ledger import ClassRules, ClientRequest, Ledger, Violation
 
-READ = ClassRules("read", 1.0, repeatable=True)
+READ = ClassRules("read", 1.0, is_repeatable=True)
 BUY = ClassRules("buy", 2.0)
-ORDER = ClassRules("order", 2.0, window=1.0)
+ORDER = ClassRules("order", 2.0, dedup_window=1.0)
 CLASSES = (READ, BUY, ORDER)
-SHARES = (0.6, 0.25, 0.15)
+CLASS_WEIGHTS = (0.6, 0.25, 0.15)
 
-CONNECT_TIME = 1.0
-BAD_CLIENT_TIME = 3.0  # within which a bad client is owed an error or a close
-UPLOAD_RATE = 200_000.0  # bytes a second
-SLOW_RATE, SLOW_SHARE = 64_000.0, 0.3  # of the slowest honest clients, and how many uploads are theirs
-SLOW_SIZES = (200_000, 600_000)  # bytes: 3 to 9 s, longer than a replaced process lives
-KILL_TIME = 0.5  # seconds around a kill in which a connection may lead nowhere
-IDLE_KEPT = 40  # connections to one gateway that clients keep
-BAD_TEXTS = (
+CONNECT_TIMEOUT_SECONDS = 1.0
+BAD_CLIENT_TIMEOUT_SECONDS = 3.0  # within which a misbehaving client must get an error or be disconnected
+UPLOAD_RATE = 200_000.0  # bytes per second
+SLOW_UPLOAD_RATE, SLOW_UPLOAD_SHARE = 64_000.0, 0.3  # of the slowest well-behaved clients; share of uploads
+SLOW_UPLOAD_BYTES = (200_000, 600_000)  # 3 to 9 s, longer than a process lives that has been replaced
+KILL_WINDOW_SECONDS = 0.5  # around a kill, in which requests on a connection may get no answer
+MAX_IDLE_CONNECTIONS = 40  # kept by the clients to one gateway
+MALFORMED_REQUESTS = (
     b"GET /read HTTP/1.1\r\nX-Request-Id: half",
     b"\x16\x03\x01 this is no HTTP\r\n\r\n",
     b"POST /buy HTTP/1.1\r\nX-Class: buy\r\nContent-Length: -5\r\n\r\n",
@@ -33,12 +33,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection, with one request at a time."""
+    """A connection that carries one request at a time."""
 
     def __init__(self, ledger: Ledger) -> None:
         self._ledger = ledger
         self._transport: asyncio.Transport | None = None
-        self.heard = False  # any byte of the answer that is due
+        self.has_received = False  # any byte of the expected answer
         self.is_open = True
         self._reset_answer()
 
@@ -51,22 +51,22 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
-    def expect(self) -> asyncio.Future[tuple[int, bytes] | None]:
-        """The next answer: its status and body; None if the connection ends without a whole one."""
+    def expect_answer(self) -> asyncio.Future[tuple[int, bytes] | None]:
+        """Return a future of the next answer's status and body, or None if the connection ends too early."""
         self._reset_answer()
-        self.heard = False
+        self.has_received = False
         self.answer = asyncio.get_running_loop().create_future()
         return self.answer
 
-    def write(self, text: bytes) -> None:
+    def write(self, data: bytes) -> None:
         if self._transport is not None:
-            self._transport.write(text)
+            self._transport.write(data)
 
     def data_received(self, data: bytes) -> None:
         if self.answer is None or self.answer.done():
-            self._ledger.faults.append(Violation("second-answer", "", repr(data[:60])))
+            self._ledger.immediate_violations.append(Violation("second-answer", "", repr(data[:60])))
             return
-        self.heard = True
+        self.has_received = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -86,6 +86,7 @@
             self.answer.set_result(None)
 
     def close(self) -> None:
+        """Reset the connection."""
         self.is_open = False
         if self._transport is not None:
             self._transport.abort()
@@ -95,116 +96,122 @@
     """All clients of a soak."""
 
     def __init__(
-        self, ledger: Ledger, random: Random, now: Callable[[], float], is_on: Callable[[str], bool]
+        self, ledger: Ledger, random: Random, now: Callable[[], float], is_active: Callable[[str], bool]
     ) -> None:
-        self._ledger, self._random, self._now, self._is_on = ledger, random, now, is_on
+        self._ledger, self._random, self._now, self._is_active = ledger, random, now, is_active
         self._idle: dict[int, list[ClientConnection]] = defaultdict(list)
-        self.open: dict[int, set[AskedRequest]] = defaultdict(set)  # by gateway, those that wait
-        self._killed: dict[int, list[float]] = defaultdict(list)  # when the gateways were killed
-        self.not_taken = 0
+        self.waiting: dict[int, set[ClientRequest]] = defaultdict(set)  # unanswered requests by gateway
+        self._killed_at: dict[int, list[float]] = defaultdict(list)  # times of SIGKILL by gateway
+        self.not_accepted = 0
         self._count = 0
 
-    def has_kept(self, gateway: int) -> bool:
-        """Whether a connection to this gateway is open and idle."""
-        return any(kept.is_open for kept in self._idle[gateway])
+    def has_idle_connection(self, gateway: int) -> bool:
+        """Return whether a kept connection to this gateway is open and idle."""
+        return any(connection.is_open for connection in self._idle[gateway])
 
-    async def _connection(self, gateway: int, port: int, fresh: bool) -> tuple[ClientConnection, bool]:
-        """A connection, and whether it was used before; OSError or TimeoutError if there is none."""
+    async def _connect(self, gateway: int, port: int, is_new: bool) -> tuple[ClientConnection, bool]:
+        """Return a connection and whether it was used before; OSError or TimeoutError if none can be made."""
         idle = self._idle[gateway]
-        while idle and not fresh:
-            kept = idle.pop()
-            if kept.is_open:
-                return kept, True
+        while idle and not is_new:
+            connection = idle.pop()
+            if connection.is_open:
+                return connection, True
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(CONNECT_TIME):
+        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             return (await loop.create_connection(lambda: ClientConnection(self._ledger), "127.0.0.1", port))[
                 1
             ], False
 
-    async def ask(self, gateway: int, port: int) -> None:
-        """One request, from its first byte to the end of its account."""
-        rules = self._random.choices(CLASSES, SHARES)[0]
+    async def send_request(self, gateway: int, port: int) -> None:
+        """Send a request and record its result; once more if a kept connection ended without an answer."""
+        rules = self._random.choices(CLASSES, CLASS_WEIGHTS)[0]
         self._count += 1
         name = f"{self._random.getrandbits(48):012x}{self._count:04x}"
-        is_upload = rules is not READ and self._is_on("uploads") and self._random.random() < 0.3
-        is_slow = is_upload and self._random.random() < SLOW_SHARE
-        sizes = SLOW_SIZES if is_slow else (70_000, 200_000)
+        is_upload = rules is not READ and self._is_active("uploads") and self._random.random() < 0.3
+        is_slow = is_upload and self._random.random() < SLOW_UPLOAD_SHARE
+        sizes = SLOW_UPLOAD_BYTES if is_slow else (70_000, 200_000)
         body = self._random.randbytes(self._random.randrange(*sizes)) if is_upload else b"x" * 20
-        rate = SLOW_RATE if is_slow else UPLOAD_RATE
-        first_ended: float | None = None
-        again = False
+        rate = SLOW_UPLOAD_RATE if is_slow else UPLOAD_RATE
+        first_ended_at: float | None = None
+        is_resend = False
         while True:
             try:
-                connection, reused = await self._connection(gateway, port, fresh=again)
+                connection, is_reused = await self._connect(gateway, port, is_new=is_resend)
             except (OSError, TimeoutError):
-                self.not_taken += 1
-                if again:  # its first connection had ended before it was read
-                    self._ledger.asked[name].excused = "nobody takes it any more"
+                self.not_accepted += 1
+                if is_resend:  # the first connection ended before the gateway had read the request
+                    self._ledger.requests[name].waiver = "no gateway accepts it any more"
                 return
-            crossed = await self._play(connection, reused, name, rules, gateway, body, rate)
-            if again and name in self._ledger.asked:
-                self._ledger.asked[name].first_ended = first_ended
-            if not crossed or again:
+            ended_unanswered = await self._exchange(connection, is_reused, name, rules, gateway, body, rate)
+            if is_resend and name in self._ledger.requests:
+                self._ledger.requests[name].first_connection_ended_at = first_ended_at
+            if not ended_unanswered or is_resend:
                 return
-            again, first = True, self._ledger.asked[name]
-            first_ended = first.first_ended = None if first.excused else self._now()
+            is_resend, first = True, self._ledger.requests[name]
+            first_ended_at = first.first_connection_ended_at = None if first.waiver else self._now()
 
-    async def _play(
+    async def _exchange(
         self,
         connection: ClientConnection,
-        reused: bool,
+        is_reused: bool,
         name: str,
         rules: ClassRules,
         gateway: int,
         body: bytes,
         rate: float,
     ) -> bool:
-        """Send and wait; True if a kept connection ended with no byte of an answer."""
-        answer = connection.expect()
-        began = self._now()
+        """Send a request and wait; return whether a kept connection ended before any byte of an answer."""
+        answer = connection.expect_answer()
+        began_at = self._now()
         if not await self._write(connection, answer, name, rules, body, rate):
-            is_killed = any(began - KILL_TIME < at for at in self._killed[gateway])
-            if not reused and not is_killed:
-                detail = f"at {self._now():.3f} s gateway {gateway} cut its body off with no answer"
-                self._ledger.faults.append(Violation("lost", name, detail))
+            is_killed = any(began_at - KILL_WINDOW_SECONDS < at for at in self._killed_at[gateway])
+            if not is_reused and not is_killed:
+                detail = f"at {self._now():.3f} s gateway {gateway} closed during its body without an answer"
+                self._ledger.immediate_violations.append(Violation("lost", name, detail))
             connection.close()
             return False
-        request = AskedRequest(name, rules, gateway, self._now())
-        request.how = "kept connection" if reused else "new connection"
-        before = self._ledger.asked.get(name)
-        self._ledger.asked[name] = request
-        self.open[gateway].add(request)
-        leaves = self._random.uniform(0.0, 0.3) if self._leaves() else None
+        request = ClientRequest(name, rules, gateway, self._now())
+        request.connection_history = "kept connection" if is_reused else "new connection"
+        previous = self._ledger.requests.get(name)
+        self._ledger.requests[name] = request
+        self.waiting[gateway].add(request)
+        leaves_after = self._random.uniform(0.0, 0.3) if self._leaves_early() else None
         try:
-            async with asyncio.timeout(leaves if leaves is not None else rules.deadline + 1.5):
-                told = await asyncio.shield(answer)
+            async with asyncio.timeout(leaves_after if leaves_after is not None else rules.deadline + 1.5):
+                response = await asyncio.shield(answer)
         except TimeoutError:
-            if leaves is not None:
-                request.left = self._now()
+            if leaves_after is not None:
+                request.client_left_at = self._now()
             connection.close()
             return False
         finally:
-            self.open[gateway].discard(request)
-            request.heard = connection.heard
-        if told is None:
-            request.how += f", ended at {self._now():.3f} s"
-        if told is None and any(abs(at - request.sent) < KILL_TIME for at in self._killed[gateway]):
-            request.excused = "killed"
-        if told is None:
-            if reused and not connection.heard and before is None:
+            self.waiting[gateway].discard(request)
+            request.has_partial_answer = connection.has_received
+        if response is None:
+            request.connection_history += f", ended at {self._now():.3f} s"
+        if response is None and any(
+            abs(at - request.sent_at) < KILL_WINDOW_SECONDS for at in self._killed_at[gateway]
+        ):
+            request.waiver = "killed"
+        if response is None:
+            if is_reused and not connection.has_received and previous is None:
                 return True
             connection.close()
             return False
-        request.answered = self._now()
-        request.status, request.body = told
-        if connection.is_open and len(self._idle[gateway]) < IDLE_KEPT and self._random.random() < 0.9:
+        request.answered_at = self._now()
+        request.status, request.body = response
+        if (
+            connection.is_open
+            and len(self._idle[gateway]) < MAX_IDLE_CONNECTIONS
+            and self._random.random() < 0.9
+        ):
             self._idle[gateway].append(connection)
         else:
             connection.close()
         return False
 
-    def _leaves(self) -> bool:
-        return self._is_on("leave") and self._random.random() < 0.2
+    def _leaves_early(self) -> bool:
+        return self._is_active("leave") and self._random.random() < 0.2
 
     async def _write(
         self,
@@ -215,7 +222,7 @@
         body: bytes,
         rate: float,
     ) -> bool:
-        """Write the request; False if its connection ended before its last byte."""
+        """Write the request; return False if its connection ended before the last byte."""
         head = [
             f"{'GET' if rules is READ else 'POST'} /{rules.name}?page=1 HTTP/1.1",
             "Host: api.internal",
@@ -229,25 +236,25 @@
             connection.write("\r\n".join([*head, "", ""]).encode())
             return True
         head.append(f"Content-Length: {len(body)}")
-        text = "\r\n".join([*head, "", ""]).encode()
+        encoded_head = "\r\n".join([*head, "", ""]).encode()
         if len(body) < 1000:
-            connection.write(text + body)
+            connection.write(encoded_head + body)
             return True
-        connection.write(text)
-        step = 20_000
-        for place in range(0, len(body), step):
+        connection.write(encoded_head)
+        chunk_bytes = 20_000
+        for start in range(0, len(body), chunk_bytes):
             if answer.done():
                 return answer.result() is not None
-            connection.write(body[place : place + step])
-            await asyncio.sleep(step / rate)
+            connection.write(body[start : start + chunk_bytes])
+            await asyncio.sleep(chunk_bytes / rate)
         return True
 
-    async def crowd(self, port: int, count: int, seconds: float) -> None:
-        """So many connections that ask for nothing, for a while."""
+    async def hold_idle_connections(self, port: int, count: int, seconds: float) -> None:
+        """Open up to `count` connections, send nothing, and reset them after `seconds`."""
         writers = []
         for _ in range(count):
             try:
-                async with asyncio.timeout(CONNECT_TIME):
+                async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                     writers.append((await asyncio.open_connection("127.0.0.1", port))[1])
             except (OSError, TimeoutError):
                 break
@@ -255,28 +262,38 @@
         for writer in writers:
             writer.transport.abort()
 
-    async def misbehave(self, gateway: int, port: int, excused: Callable[[int, float], bool]) -> None:
-        """A bad client: it is owed an error or a close."""
-        began = self._now()
+    async def send_malformed(
+        self, gateway: int, port: int, was_disrupted: Callable[[int, float], bool]
+    ) -> None:
+        """Send a malformed request, which must be answered with an error or closed within a timeout.
+
+        `was_disrupted` returns whether a gateway was stopped or paused since a time, which waives the
+        timeout.
+        """
+        began_at = self._now()
         try:
-            connection, _ = await self._connection(gateway, port, fresh=True)
+            connection, _ = await self._connect(gateway, port, is_new=True)
         except (OSError, TimeoutError):
             return
-        answer = connection.expect()
-        connection.write(self._random.choice(BAD_TEXTS))
+        answer = connection.expect_answer()
+        connection.write(self._random.choice(MALFORMED_REQUESTS))
         try:
-            async with asyncio.timeout(BAD_CLIENT_TIME + 0.3):
-                told = await answer
+            async with asyncio.timeout(BAD_CLIENT_TIMEOUT_SECONDS + 0.3):
+                response = await answer
         except TimeoutError:
-            if not excused(gateway, began):
-                self._ledger.faults.append(Violation("bad-client", "", f"held by gateway {gateway}"))
-            told = None
-        if told is not None and told[0] < 400:
-            self._ledger.faults.append(Violation("lost", "", f"a bad client was served {told[0]}"))
+            if not was_disrupted(gateway, began_at):
+                self._ledger.immediate_violations.append(
+                    Violation("bad-client", "", f"held by gateway {gateway}")
+                )
+            response = None
+        if response is not None and response[0] < 400:
+            self._ledger.immediate_violations.append(
+                Violation("lost", "", f"a malformed request was answered {response[0]}")
+            )
         connection.close()
 
-    def excuse(self, gateway: int, why: str) -> None:
-        """Nothing is owed any more to those that wait at this gateway."""
-        self._killed[gateway].append(self._now())
-        for request in self.open[gateway]:
-            request.excused = why
+    def waive_waiting(self, gateway: int, reason: str) -> None:
+        """Record a kill of this gateway, after which no answer is owed to the requests that wait there."""
+        self._killed_at[gateway].append(self._now())
+        for request in self.waiting[gateway]:
+            request.waiver = reason
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -1,4 +1,4 @@
-"""The troubles of one soak, drawn from its seed: what happens when, to whom. No I/O, no clock."""
+"""The plan of a soak, drawn from its seed: which disruptions happen, and when. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 from dataclasses import dataclass
 from random import Random
 
-OVERLAP = (2, 3)  # troubles that run at the same time
-LASTS = (4.0, 9.0)  # seconds of one trouble
-QUIET = 3.0  # seconds at the start and the end with no trouble
+CONCURRENT_RANGE = (2, 3)  # least and greatest number of disruptions at the same time
+DISRUPTION_SECONDS = (4.0, 9.0)  # shortest and longest disruption
+QUIET_SECONDS = 3.0  # without disruptions, at the start and at the end
 
 # What may happen to gateways, to hosts, on the links between them, to discovery, and from clients.
-KINDS = (
-    "stop",  # SIGTERM to some gateways, one after the other, SIGKILL in its time, and a new start
-    "kill",  # SIGKILL, and a new start
-    "upgrade",  # a process beside the old one, then SIGTERM to that
+DISRUPTION_KINDS = (
+    "stop",  # SIGTERM to some gateways one after the other, SIGKILL after the stop timeout, and a restart
+    "kill",  # SIGKILL, and a restart
+    "upgrade",  # a second process beside the old one, then SIGTERM to the old one
     "reload",  # new settings and another address of discovery, SIGHUP
     "pause",  # SIGSTOP for up to 0.15 s
     "freeze",  # SIGSTOP for longer than that
-    "drain",  # hosts drain, go and are replaced by cold ones
+    "drain",  # hosts drain, are removed and are replaced by cold ones
     "hang",  # hosts answer nothing
     "fail",  # hosts answer 500 or refuse
-    "crash",  # hosts reset all and come back cold under their ids
-    "spoil",  # answers that can't be read, second answers, answers that end with their connection
-    "link",  # answers are delayed, split, stalled and reset on their way
-    "no-connect",  # new connections to hosts are reset for a while, old ones go on
+    "crash",  # hosts reset all connections and restart cold with the same ids
+    "spoil",  # invalid answers, second answers, answers that end with their connection
+    "link",  # answers are delayed, split, stalled and reset on the link
+    "no-connect",  # new connections to hosts are reset for a while, established ones stay
     "silence",  # watches fall silent
     "watches",  # watches are reset, and discovery is down for a while
     "leave",  # clients leave early
     "burst",  # three times the requests
-    "bad-clients",  # half requests, garbage, many commands at once
-    "uploads",  # long bodies, slowly
+    "bad-clients",  # incomplete requests, garbage, many requests at once
+    "uploads",  # long bodies, sent slowly
     "crowd",  # idle connections up to a gateway's limit on descriptors
-    "signals",  # signals in series, at starts and during ends
-    "calls",  # hosts are taken out and put back, gateways emptied and filled
+    "signals",  # series of signals during start and shutdown
+    "calls",  # operators' calls: OFFLINE and ONLINE for hosts, LEAVE and JOIN for gateways
 )
-# The library of faults is loaded into all gateways of a soak, with one of these sets.
-FAULTS: tuple[dict[str, int], ...] = (
+# The fault injection library is loaded into all gateways of a soak, with one of these sets of fault rates.
+FAULT_RATES: tuple[dict[str, int], ...] = (
     {},
     {},
     {"accept": 50},
@@ -44,53 +44,55 @@
     {"read": 4, "write": 4, "wait": 20},
     {"accept": 50, "connect": 50, "socket": 50, "read": 10, "write": 10, "wait": 20, "broken": 2000},
 )
-STEPS: tuple[tuple[float, ...], ...] = ((), (3600, -5, 7, -3600, 2, 0, 40), (7, 0, -5))
+CLOCK_OFFSETS: tuple[tuple[float, ...], ...] = ((), (3600, -5, 7, -3600, 2, 0, 40), (7, 0, -5))  # seconds
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """One kind of trouble for a while."""
+class Disruption:
+    """One kind of disruption for a time span."""
 
     kind: str
-    begins: float  # seconds from the start
+    begins: float  # seconds from the start of the soak
     ends: float
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A soak."""
+    """The parameters of one soak and its disruptions."""
 
     seed: int
     seconds: float
     gateways: int
     hosts: int
-    troubles: tuple[Trouble, ...]
-    faults: dict[str, int]
-    steps: tuple[float, ...]
+    disruptions: tuple[Disruption, ...]
+    fault_rates: dict[str, int]  # by kind of system call: one call in so many fails
+    clock_offsets: tuple[float, ...]  # of the wall clock, in seconds, one after the other
 
-    def of(self, kind: str, now: float) -> bool:
-        """Whether this trouble is on."""
-        return any(t.kind == kind and t.begins <= now < t.ends for t in self.troubles)
+    def is_active(self, kind: str, now: float) -> bool:
+        """Return whether a disruption of this kind is in progress."""
+        return any(d.kind == kind and d.begins <= now < d.ends for d in self.disruptions)
 
-    def crossings(self) -> int:
-        """Pairs of troubles that overlap."""
+    def overlap_count(self) -> int:
+        """Return the number of pairs of disruptions that overlap."""
         return sum(
             first.begins < second.ends and second.begins < first.ends
-            for place, first in enumerate(self.troubles)
-            for second in self.troubles[:place]
+            for index, first in enumerate(self.disruptions)
+            for second in self.disruptions[:index]
         )
 
 
-def draw(seed: int, seconds: float, gateways: int, hosts: int, kinds: Iterable[str] = KINDS) -> Plan:
-    """The plan of a seed."""
+def draw_plan(
+    seed: int, seconds: float, gateways: int, hosts: int, kinds: Iterable[str] = DISRUPTION_KINDS
+) -> Plan:
+    """Return the plan of a seed; the same arguments give the same plan."""
     random = Random(seed)
-    names, troubles = list(kinds), []
-    for _ in range(random.randint(*OVERLAP)):
-        now = QUIET + random.uniform(0.0, 2.0)
-        while now < seconds - QUIET:
-            ends = min(now + random.uniform(*LASTS), seconds - QUIET)
-            troubles.append(Trouble(random.choice(names), now, ends))
+    names, disruptions = list(kinds), []
+    for _ in range(random.randint(*CONCURRENT_RANGE)):
+        now = QUIET_SECONDS + random.uniform(0.0, 2.0)
+        while now < seconds - QUIET_SECONDS:
+            ends = min(now + random.uniform(*DISRUPTION_SECONDS), seconds - QUIET_SECONDS)
+            disruptions.append(Disruption(random.choice(names), now, ends))
             now = ends + random.uniform(0.0, 1.5)
-    troubles.sort(key=lambda trouble: trouble.begins)
-    faults, steps = random.choice(FAULTS), random.choice(STEPS)
-    return Plan(seed, seconds, gateways, hosts, tuple(troubles), faults, steps)
+    disruptions.sort(key=lambda disruption: disruption.begins)
+    fault_rates, clock_offsets = random.choice(FAULT_RATES), random.choice(CLOCK_OFFSETS)
+    return Plan(seed, seconds, gateways, hosts, tuple(disruptions), fault_rates, clock_offsets)
--- a/benchmarks/soak/sockets.py
+++ b/benchmarks/soak/sockets.py
@@ -1,4 +1,4 @@
-"""The listening socket that a gateway's processes share over upgrades."""
+"""The listening socket that the processes of a gateway share across upgrades."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def listening_socket() -> socket.socket:
-    """On loopback, with room for a crowd."""
+    """Return a socket on loopback whose backlog holds the connections of the "crowd" disruption."""
     return socket.create_server(("127.0.0.1", 0), backlog=512)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,13 +1,13 @@
-"""What clients see of upgrades: the program started again beside itself, under load.
+"""Measures what clients notice of upgrades under load, when a new process replaces the one that serves.
 
     python -m benchmarks.upgrade            20 upgrades with the snapshot, then 20 without
-    python -m benchmarks.upgrade --quick    fewer
+    python -m benchmarks.upgrade --quick    5 of each
 
-A client keeps asking on each of some connections. An upgrade starts a process at the same listening socket,
-waits for its yes, and ends the older one. Counted: answers other than 200, connections that ended under a
-request, the longest time without any answer, and the 99th percentile of answers in the second before and
-the second behind each yes. Without the snapshot the new process finds no older one to ask (its TMPDIR is
-its own).
+Each client sends one request after the other on a connection. An upgrade starts a process at the same
+listening socket, waits until it reports to be healthy, and ends the older one. Counted are answers other than
+200 and connections that ended during a request; measured are the longest time without any answer, and the
+99th percentile of the answer times in the second before each start and in the second after the new process is
+healthy. Without the snapshot, the new process has a TMPDIR of its own and so finds no older process to ask.
 """
 
 from __future__ import annotations
@@ -24,50 +24,62 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from benchmarks.farm import CLASSES, PERMISSIONS, ROOT, farm, free_port, gateway_command, request_text
+from benchmarks.farm import (
+    CLASSES,
+    PERMISSIONS,
+    ROOT,
+    encode_request,
+    free_port,
+    gateway_command,
+    run_testbed,
+)
 
-CLIENTS = 12
-SETTLE = 1.5  # seconds between upgrades
-UP_WITHIN = 10.0
+CLIENT_COUNT = 12
+SETTLE_SECONDS = 1.5  # between upgrades
+START_TIMEOUT_SECONDS = 10.0
 
 
 @dataclass
-class Seen:
-    """What the clients saw."""
+class ClientStats:
+    """The results of all clients."""
 
-    answers: list[tuple[float, float]] = field(default_factory=list)  # when each came, and what it took
-    others: int = 0  # answers that were no 200
-    ended: int = 0  # connections that ended under a request
+    answers: list[tuple[float, float]] = field(default_factory=list)  # the time of each, and its duration
+    failed: int = 0  # answers other than 200
+    broken: int = 0  # connections that ended during a request
 
-    def tail(self, since: float, until: float) -> float:
-        """The 99th percentile of what answers took, in milliseconds; 0 if there were none."""
-        took = sorted(taken for at, taken in self.answers if since <= at < until)
-        return 1000 * took[int(0.99 * (len(took) - 1))] if took else 0.0
+    def p99_ms(self, since: float, until: float) -> float:
+        """Return the 99th percentile of the answer times in a span, in milliseconds; 0 without answers."""
+        times = sorted(elapsed for answered_at, elapsed in self.answers if since <= answered_at < until)
+        return 1000 * times[int(0.99 * (len(times) - 1))] if times else 0.0
 
     @property
-    def gap(self) -> float:
-        """The longest time without an answer, in milliseconds."""
-        times = sorted(at for at, _ in self.answers)
-        return 1000 * max((b - a for a, b in zip(times, times[1:], strict=False)), default=0.0)  # noqa: RUF007
+    def longest_gap_ms(self) -> float:
+        """The longest time between two answers, in milliseconds."""
+        times = sorted(answered_at for answered_at, _ in self.answers)
+        return 1000 * max(
+            (later - earlier for earlier, later in zip(times, times[1:], strict=False)),  # noqa: RUF007
+            default=0.0,
+        )
 
 
-async def _client(port: int, name: str, seen: Seen, over: asyncio.Event) -> None:
+async def _client(port: int, name: str, stats: ClientStats, stopped: asyncio.Event) -> None:
+    """Send requests one after the other until stopped, and record the results."""
     count = 0
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    while not over.is_set():
+    while not stopped.is_set():
         count += 1
-        begun = time.monotonic()
+        started_at = time.monotonic()
         try:
-            writer.write(request_text(f"{name}-{count}"))
+            writer.write(encode_request(f"{name}-{count}"))
             head = await reader.readuntil(b"\r\n\r\n")
             length = next(line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length"))
             await reader.readexactly(int(length.partition(b":")[2]))
         except (ConnectionError, asyncio.IncompleteReadError):
-            seen.ended += 1
+            stats.broken += 1
             head = b"connection: close"
         else:
-            seen.answers.append((time.monotonic(), time.monotonic() - begun))
-            seen.others += b" 200 " not in head[:20]
+            stats.answers.append((time.monotonic(), time.monotonic() - started_at))
+            stats.failed += b" 200 " not in head[:20]
         if b"connection: close" in head.lower():
             writer.close()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -75,9 +87,10 @@
     writer.close()
 
 
-async def _healthy(control: int) -> bool:
+async def _is_healthy(control_port: int) -> bool:
+    """Return whether the process answers HEALTH with +OK."""
     try:
-        reader, writer = await asyncio.open_connection("127.0.0.1", control)
+        reader, writer = await asyncio.open_connection("127.0.0.1", control_port)
         writer.write(b"HEALTH\n")
         answer = await reader.read()
         writer.close()
@@ -86,17 +99,19 @@
     return answer.startswith(b"+OK")
 
 
-def _start(folder: Path, listener: socket.socket, told: dict[str, object], tmp: Path) -> tuple[int, int]:
-    """Start a process; its id and the port of its calls."""
-    control = free_port()
+def _start(
+    folder: Path, listener: socket.socket, config_document: dict[str, object], temporary_folder: Path
+) -> tuple[int, int]:
+    """Start a gateway process; return its id and the port for operators' calls."""
+    control_port = free_port()
     config = folder / "config.json"
-    config.write_text(json.dumps(told))
+    config.write_text(json.dumps(config_document))
     environment = {
         **os.environ,
         "PROXY_CONFIG": str(config),
-        "PROXY_CONTROL": f"127.0.0.1:{control}",
+        "PROXY_CONTROL": f"127.0.0.1:{control_port}",
         "PROXY_SOCKET_FD": str(listener.fileno()),
-        "TMPDIR": str(tmp),
+        "TMPDIR": str(temporary_folder),
     }
     child = subprocess.Popen(
         gateway_command(ROOT),
@@ -105,26 +120,27 @@
         pass_fds=(listener.fileno(),),
         stderr=subprocess.DEVNULL,
     )
-    return child.pid, control
+    return child.pid, control_port
 
 
-async def _up(control: int) -> None:
-    async with asyncio.timeout(UP_WITHIN):
-        while not await _healthy(control):
+async def _wait_until_healthy(control_port: int) -> None:
+    async with asyncio.timeout(START_TIMEOUT_SECONDS):
+        while not await _is_healthy(control_port):
             await asyncio.sleep(0.02)
 
 
-async def _play(upgrades: int, snapshot: bool, members: list[dict[str, object]]) -> str:
-    seen, over = Seen(), asyncio.Event()
-    before: list[float] = []
-    behind: list[float] = []
-    ready: list[float] = []
+async def _measure_upgrades(upgrades: int, with_snapshot: bool, members: list[dict[str, object]]) -> str:
+    """Run upgrades under load; return the line to print."""
+    stats, stopped = ClientStats(), asyncio.Event()
+    p99_before: list[float] = []
+    p99_after: list[float] = []
+    ready_seconds: list[float] = []
     with (
         tempfile.TemporaryDirectory() as name,
         socket.create_server(("127.0.0.1", 0), backlog=512) as listener,
     ):
         folder, port = Path(name), listener.getsockname()[1]
-        told: dict[str, object] = {
+        config_document: dict[str, object] = {
             "name": "n0",
             "listen": f"127.0.0.1:{port}",
             "discovery": "127.0.0.1:1",
@@ -132,34 +148,39 @@
             "known": {"revision": 1, "complete": True, "members": members},
             "settings": {"classes": CLASSES, "permissions": PERMISSIONS},
         }
-        pid, control = _start(folder, listener, told, folder)
-        await _up(control)
-        clients = [asyncio.create_task(_client(port, f"c{c}", seen, over)) for c in range(CLIENTS)]
-        await asyncio.sleep(SETTLE)
-        for place in range(upgrades):
-            tmp = folder if snapshot else folder / str(place)
-            tmp.mkdir(exist_ok=True)
-            begun = time.monotonic()
-            fresh, control = _start(folder, listener, told, tmp)
-            await _up(control)
-            yes = time.monotonic()
-            ready.append(yes - begun)
+        pid, control_port = _start(folder, listener, config_document, folder)
+        await _wait_until_healthy(control_port)
+        clients = [
+            asyncio.create_task(_client(port, f"c{number}", stats, stopped)) for number in range(CLIENT_COUNT)
+        ]
+        await asyncio.sleep(SETTLE_SECONDS)
+        for index in range(upgrades):
+            temporary_folder = folder if with_snapshot else folder / str(index)
+            temporary_folder.mkdir(exist_ok=True)
+            started_at = time.monotonic()
+            newer_pid, control_port = _start(folder, listener, config_document, temporary_folder)
+            await _wait_until_healthy(control_port)
+            healthy_at = time.monotonic()
+            ready_seconds.append(healthy_at - started_at)
             os.kill(pid, signal.SIGTERM)
-            await asyncio.sleep(SETTLE)
-            before.append(seen.tail(begun - 1, begun))
-            behind.append(seen.tail(yes, yes + 1))
+            await asyncio.sleep(SETTLE_SECONDS)
+            p99_before.append(stats.p99_ms(started_at - 1, started_at))
+            p99_after.append(stats.p99_ms(healthy_at, healthy_at + 1))
             os.waitpid(pid, 0)
-            pid = fresh
-        over.set()
+            pid = newer_pid
+        stopped.set()
         await asyncio.gather(*clients)
         os.kill(pid, signal.SIGKILL)
         os.waitpid(pid, 0)
-    middle = upgrades // 2
+    median_index = upgrades // 2
     return (
-        f"{upgrades} upgrades {'with' if snapshot else 'without'} the snapshot: {len(seen.answers)} answers, "
-        f"{seen.others} no 200, {seen.ended} ended under a request, longest gap {seen.gap:.0f} ms, "
-        f"ready after {sorted(ready)[middle]:.2f} s, 99th percentile {sorted(before)[middle]:.0f} ms in the "
-        f"second before, {sorted(behind)[middle]:.0f} ms behind"
+        f"{upgrades} upgrades {'with' if with_snapshot else 'without'} the snapshot: "
+        f"{len(stats.answers)} answers, "
+        f"{stats.failed} not 200, {stats.broken} connections ended during a request, "
+        f"longest gap {stats.longest_gap_ms:.0f} ms, "
+        f"ready after {sorted(ready_seconds)[median_index]:.2f} s, "
+        f"99th percentile {sorted(p99_before)[median_index]:.0f} ms in the second before, "
+        f"{sorted(p99_after)[median_index]:.0f} ms in the second after"
     )
 
 
@@ -167,19 +188,19 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--quick", action="store_true")
     count = 5 if parser.parse_args().quick else 20
-    with farm(hosts=8, delay=0.03) as here:
-        members = _members(here.pids["hosts"])
-        for snapshot in (True, False):
-            print(asyncio.run(_play(count, snapshot, members)))
+    with run_testbed(hosts=8, delay=0.03) as testbed:
+        members = _members(testbed.pids["hosts"])
+        for with_snapshot in (True, False):
+            print(asyncio.run(_measure_upgrades(count, with_snapshot, members)))
 
 
 def _members(pid: int) -> list[dict[str, object]]:
-    """The hosts of a farm, by what it was started with."""
-    told = Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")
-    ports = [int(port) for port in told[told.index(b"hosts") + 5 :] if port]
+    """Return the list of a testbed's hosts, from the command line of their process."""
+    arguments = Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")
+    ports = [int(port) for port in arguments[arguments.index(b"hosts") + 5 :] if port]
     return [
-        {"id": f"s-{place}", "host_port": f"127.0.0.1:{port}", "phase": "Ready"}
-        for place, port in enumerate(ports)
+        {"id": f"s-{index}", "host_port": f"127.0.0.1:{port}", "phase": "Ready"}
+        for index, port in enumerate(ports)
     ]
 
 
--- a/setup.py
+++ b/setup.py
@@ -1,11 +1,12 @@
-"""Builds the package; with WHINROUTER_COMPILE=1 what each request goes through is compiled (mypyc)."""
+"""Builds the package; WHINROUTER_COMPILE=1 compiles the modules that run for each request with mypyc."""
 
 import os
 from typing import Any
 
 from setuptools import setup
 
-# No coroutine among them: compiled ones crashed. They run at a connection's start and end.
+# These modules define no coroutines, which crashed when compiled. Coroutines run only when a connection
+# starts or ends, so that compiling them would gain little.
 COMPILED = (
     "whinrouter/balance.py",
     "whinrouter/breaker.py",
@@ -32,9 +33,10 @@
 
 
 def extensions() -> list[Any]:
+    """Return the extension modules to build: none unless WHINROUTER_COMPILE is 1."""
     if os.environ.get("WHINROUTER_COMPILE") != "1":
         return []
-    from mypyc.build import mypycify  # noqa: PLC0415 - of the compiling build alone
+    from mypyc.build import mypycify  # noqa: PLC0415 - needed only for compilation
 
     return mypycify(list(COMPILED), opt_level="3", debug_level="0")
 
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a gateway meets: servers with scripted faults. Checked like the code, not shipped."""
+"""Stand-ins for the peers of a gateway: servers and clients with scripted faults, for tests; not shipped."""
--- a/standins/coldstart.py
+++ b/standins/coldstart.py
@@ -1,9 +1,8 @@
-"""Servers that warm up after a start, and fall if they are sent too much meanwhile.
+"""A model of servers that warm up after a start, and collapse if they are sent too much meanwhile.
 
-A server's capacity rises evenly from a share of the whole to all of it. Within any window of a given length
-it bears a budget of N requests of mean work: a multiple of what it can do in that time, by its capacity now.
-Beyond N by more than twice the root of N, and two, it falls; the same figures as the settings tell the
-balancers.
+A server's capacity rises linearly from a share to the whole. Within any window of a given length it bears a
+budget of N requests of mean work: a multiple of what it can do in that time, by its present capacity. It
+collapses beyond N by more than two roots of N, and two. The balancers' settings have the same figures.
 """
 
 from __future__ import annotations
@@ -15,16 +14,16 @@
 
 @dataclass(frozen=True)
 class Warmup:
-    """How servers warm up; times in microseconds."""
+    """How servers warm up. Times are in microseconds."""
 
-    initial_share: float  # of its capacity that a server has as it starts
-    announced_share: float  # the least that the settings tell of that
-    ramp_time: int  # until it has all of it
-    overload_multiple: float  # of its capacity that it bears while it is cold
-    overload_window: int  # over which what it is sent is counted
+    initial_share: float  # share of its capacity that a server has at its start
+    announced_share: float  # the least such share, as the settings give it
+    ramp_time: int  # until it has all of its capacity
+    overload_multiple: float  # multiple of its present capacity that it bears while it is cold
+    overload_window: int  # over which the work sent to it is counted
 
     def capacity_share(self, started_at: int, now: int) -> float:
-        """The part of its capacity that a server has; `started` 0: long ago."""
+        """Return the present share of a server's capacity; `started_at` 0 means long ago."""
         if not started_at or now >= started_at + self.ramp_time:
             return 1.0
         return self.initial_share + (1 - self.initial_share) * max(0, now - started_at) / self.ramp_time
@@ -32,18 +31,18 @@
 
 @dataclass
 class ColdLoad:
-    """What one cold server is sent, against its budget."""
+    """The work sent to one cold server, compared with its budget."""
 
     warmup: Warmup
-    capacity: float  # requests of mean work in a microsecond, when it is warm
+    capacity: float  # requests of mean work per microsecond, when it is warm
     mean_work: float
-    worst_excess: float = -inf  # most that it was sent beyond its budget, in roots of that
-    is_overloaded: bool = False
+    worst_excess: float = -inf  # most that was sent beyond the budget, in square roots of the budget
+    is_overloaded: bool = False  # it was sent so much that it collapses
     _recent_work: deque[tuple[int, float]] = field(default_factory=deque)
     _recent_sum: float = 0.0
 
     def record(self, work: float, started_at: int, now: int) -> None:
-        """Count a request of so much work that has reached it."""
+        """Count a request that has reached the server."""
         capacity_share = self.warmup.capacity_share(started_at, now)
         if capacity_share == 1.0:
             return
--- a/standins/control.py
+++ b/standins/control.py
@@ -1,4 +1,4 @@
-"""The control port of a stand-in: a line in, a line out."""
+"""The control port of a stand-in: each line received is a command, and gets one line in answer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def serve(port: int, command: Command) -> asyncio.Server:
-    """Answer each line with what `command` makes of its words, or `error: ...` on a ValueError."""
+    """Call `command` with the words of each line and send back its result, or `error: ...` on ValueError."""
 
     async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
@@ -24,7 +24,7 @@
 
 
 async def send_command(port: int, line: str) -> str:
-    """Say one line to a control port; its answer."""
+    """Send one line to a control port on loopback; return the answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(f"{line}\n".encode())
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,8 +1,8 @@
-"""The example's sidecar at work: stand-in hosts, the sidecar, some clients, and a line a second.
+"""A demonstration: the example's sidecar between stand-in hosts and a few clients, with one line a second.
 
     ./demo [SECONDS]
 
-Every few seconds a host turns bad in another way, so that there is something to see.
+Every few seconds one of the hosts gets another fault, or recovers from it.
 """
 
 from __future__ import annotations
@@ -22,23 +22,24 @@
 CONFIGURATION = ROOT / "deploy" / "example" / "reader.toml"
 CONTROL_PORT = 7100
 CLIENTS = 20
-MEAN_REQUEST_INTERVAL = 0.05  # seconds between a client's requests, about
-PURCHASE_SHARE = 0.2  # part of the requests that buy
-FAULT_INTERVAL = 4.0
+MEAN_REQUEST_INTERVAL = 0.05  # seconds between the requests of one client
+PURCHASE_SHARE = 0.2  # of the requests
+FAULT_INTERVAL = 4.0  # seconds
 FAULT_COMMANDS = ("mode {} slow", "mode {} serve", "mode {} reset", "mode {} serve", "down {}", "up {}")
-START_TIMEOUT = 10.0
-ANSWER_TIMEOUT = 10.0  # twice what the longest class waits
+START_TIMEOUT = 10.0  # seconds
+ANSWER_TIMEOUT = 10.0  # seconds; twice the longest deadline of a class
 
 
 class Clients:
-    """Clients of the sidecar, and what became of their requests."""
+    """Clients of the sidecar, with counts of the outcomes of their requests."""
 
     def __init__(self, port: int) -> None:
         self._port = port
         self.counts: Counter[str] = Counter()
-        self.slowest = 0.0
+        self.slowest = 0.0  # seconds
 
     async def run(self) -> None:
+        """Run one client until cancelled; it reconnects after a lost connection."""
         while True:
             try:
                 await self._run_connection()
@@ -66,7 +67,7 @@
 
 
 async def inject_faults(ports: list[int]) -> None:
-    """Turn one host bad and well again, in turn."""
+    """Inject a fault into one host and remove it again, then go on with the next host and fault."""
     step = 0
     while True:
         await asyncio.sleep(FAULT_INTERVAL)
@@ -77,6 +78,7 @@
 
 
 async def wait_for_port(port: int) -> None:
+    """Wait until a port of loopback accepts connections; TimeoutError after START_TIMEOUT."""
     async with asyncio.timeout(START_TIMEOUT):
         while True:
             try:
@@ -88,7 +90,7 @@
 
 
 async def run_load(seconds: float) -> None:
-    """Run the load and print a line a second; for ever if `seconds` is 0."""
+    """Run the clients and print a line a second; without end if `seconds` is 0."""
     model = load(CONFIGURATION).model
     assert model.listen.address is not None
     ports = [host.port for host in model.discovery.hosts]
@@ -129,7 +131,10 @@
     except KeyboardInterrupt:
         print()
     except TimeoutError:
-        print("the hosts or the sidecar did not come up; is a port of the example taken?", file=sys.stderr)
+        print(
+            "the hosts or the sidecar did not start in time; check that the example's ports are free",
+            file=sys.stderr,
+        )
         return 1
     finally:
         for child in children:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment and a stepped wall clock, by a library for LD_PRELOAD (`faults.c`)."""
+"""Fault injection by a library for LD_PRELOAD (`faults.c`): failing system calls and a stepped wall clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def build(folder: Path) -> Path:
-    """Compile the library into a folder; return its path. RuntimeError if there is no compiler."""
+    """Compile the library into a folder and return its path; RuntimeError if there is no C compiler."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
         raise RuntimeError("no C compiler")
@@ -29,10 +29,10 @@
     step_seconds: float = 2.0,
     seed: int = 1,
 ) -> dict[str, str]:
-    """What a process is started with to have these faults.
+    """Return the environment variables that inject these faults into a process.
 
-    `calls`: by kind, of how many calls one fails. `steps`: seconds by which the wall clock is off, each for
-    `every` seconds.
+    `calls`: N by kind of system call; one call in N fails on average. `steps`: offsets of the wall clock in
+    seconds, each in force for `step_seconds`.
     """
     return {
         "LD_PRELOAD": str(library),
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,12 +1,14 @@
-"""A small fleet in simulated time: gateways that decide, servers that work and fail, clients that ask.
+"""A small fleet in simulated time: gateways, servers and clients.
 
-Servers queue for their cores, hold a request while it waits for others, pause, fail fast, fall silent, and
-turn slow while overdriven until they have rested. Each gateway is a real `Balancer`; the fleet carries out
-what it says as the host program would, and counts what the rules forbid: an answer too many or none, an
-effect twice, a send to a server that was told to drain. Everything follows from the seed. Cancelled work runs
-on, and a client asks again only after a refusal, or a failure of what may be repeated.
+Servers queue requests for their cores, hold each for a further wait time, pause, fail fast, go silent, and
+slow down under overload until they have been nearly idle for a while. Each gateway runs a real `Balancer`.
+The fleet carries out its actions as the host program would, and counts violations of the rules: a second
+answer or none, an effect that runs twice, a send to a server that is not ready. Work goes on at the server
+after a cancel. Clients retry only after a refusal, or after a failure if the request is safe to repeat. The
+seed determines everything.
 
-It is for tests of the decisions in settings that nobody tuned to, not for figures of any deployment.
+It tests the decisions under settings that they were not tuned for; it does not predict figures of a
+deployment.
 """
 
 from __future__ import annotations
@@ -51,30 +53,30 @@
 
 @dataclass(frozen=True)
 class RequestKind:
-    """One class of request as it comes: its part of the arrivals, core time, and time held for others."""
+    """A class of requests and its share of the arrivals."""
 
     request_class: RequestClass
     share: float
-    core_time: int  # mean microseconds of a core of speed 1, exponential
-    wait_time: int = 0  # mean microseconds beside it, exponential
+    core_time: int  # mean of an exponential distribution, in microseconds on a core of speed 1
+    wait_time: int = 0  # mean of the further wait without a core, exponential, in microseconds
 
 
 @dataclass(frozen=True)
 class Fault:
-    """What befalls some servers from one moment to another, in microseconds since the start."""
+    """A fault of some servers. Times are in microseconds since the start of the run."""
 
     starts_at: int
     ends_at: int
     servers: frozenset[int]
     error_share: float = 0.0  # share of requests that fail fast
     is_silent: bool = False
-    pause: int = 0  # stands still for so long, every so often
+    pause: int = 0  # length of a pause, in microseconds; one starts every `pause_interval`
     pause_interval: int = SECOND
 
 
 @dataclass(frozen=True)
 class Burst:
-    """So many times the load, from one moment to another."""
+    """A multiple of the load over some time."""
 
     starts_at: int
     ends_at: int
@@ -83,28 +85,31 @@
 
 @dataclass
 class Machine:
-    """One server; `at` times its cores held for `over` make it `slower`, until it rested for `rests`."""
+    """One server. It is overloaded by more than `overload_threshold` requests per core over `overload_delay`.
+
+    Then it takes `slowdown` times as long, until it has been nearly idle for `recovery_time`.
+    """
 
     id: int
     zone: str
     cores: int
     speed: float = 1.0
-    overload_threshold: float = 0.0  # 0: never overdriven
+    overload_threshold: float = 0.0  # 0: it is never overloaded
     overload_delay: int = 2 * SECOND
     slowdown: float = 2.5
     recovery_time: int = 3 * SECOND
-    cores_free_at: list[int] = field(default_factory=list)  # when each core is
+    cores_free_at: list[int] = field(default_factory=list)
     in_flight: int = 0
-    started_at: int = 0  # when its process was started anew; 0: long ago
-    warmup: Warmup | None = None  # None: it is warm at once
+    started_at: int = 0  # moment of the last restart; 0: long ago
+    warmup: Warmup | None = None  # None: it has its full capacity at once
     is_overloaded: bool = False
-    condition_since: int | None = None  # since when it holds too much, or, overdriven, next to nothing
+    condition_since: int | None = None  # since when the condition for the other state holds
 
     def __post_init__(self) -> None:
         self.cores_free_at = [0] * self.cores
 
     def update_overload(self, now: int) -> None:
-        """Turn slow, or recover, if what it holds says so for long enough; looked at with each change."""
+        """Become overloaded, or recover, if the condition has held for long enough; called at each change."""
         if not self.overload_threshold:
             return
         if not (
@@ -121,7 +126,7 @@
             self.is_overloaded, self.condition_since = not self.is_overloaded, None
 
     def process(self, now: int, core_time: float, wait_time: float, faults: Sequence[Fault]) -> int:
-        """When the answer is ready."""
+        """Occupy a core and return the moment at which the answer is ready."""
         finished_at = max(now, heapq.heappop(self.cores_free_at))
         capacity_share = self.warmup.capacity_share(self.started_at, now) if self.warmup is not None else 1.0
         remaining = round(
@@ -139,21 +144,22 @@
         return finished_at + round(wait_time)
 
     def _pause_phase(self, fault: Fault, time: int) -> int:
-        """How far into its turn it is; servers pause one after the other."""
+        """Return the time since the start of the pause interval; each server has its own phase."""
         return (time - fault.starts_at + self.id * fault.pause_interval // 7) % fault.pause_interval
 
     def _resume_time(self, fault: Fault, time: int) -> int:
+        """Return the end of the pause at a moment, or the moment itself outside of a pause."""
         return time + max(0, fault.pause - self._pause_phase(fault, time)) if time < fault.ends_at else time
 
     def _next_pause(self, fault: Fault, time: int) -> int:
-        """When the next pause begins."""
+        """Return the start of the next pause."""
         return time + fault.pause_interval - self._pause_phase(fault, time)
 
 
 def make_machines(
     count: int, cores: Sequence[int], speeds: Sequence[float] = (1.0,), overload_threshold: float = 0.0
 ) -> list[Machine]:
-    """So many, in two zones in turn, of so many cores and such speeds in turn."""
+    """Create machines alternately in two zones; numbers of cores and speeds are assigned in turn."""
     return [
         Machine(
             machine_id,
@@ -168,7 +174,7 @@
 
 @dataclass
 class ClientRequest:
-    """A client's request at one gateway."""
+    """A client's request as one gateway gets it; a retry of the client is another one."""
 
     kind: RequestKind
     arrived_at: int
@@ -183,17 +189,21 @@
 
 @dataclass
 class AttemptRecord:
+    """An attempt of a request at one server."""
+
     server: int
     sent_at: int
     has_ended: bool = False
 
 
 class DecisionModule(Protocol):
+    """The interface of `Balancer` that a gateway uses."""
+
     def handle(self, event: Event, now: int) -> list[Action]: ...
 
 
 class Gateway:
-    """A `Balancer` and what a host program does for it."""
+    """A balancer with the part of the host program."""
 
     def __init__(self, fleet: Fleet, settings: Settings, seed: int) -> None:
         self._fleet = fleet
@@ -203,10 +213,12 @@
         self.balancer: DecisionModule = Balancer(settings, seed)
 
     def list_servers(self, servers: Sequence[Server]) -> None:
+        """Pass a full list of servers to the balancer."""
         self._listed_states = {server.id: server.state for server in servers}
         self._handle(ServerList(Update.FULL, tuple(servers)))
 
     def submit(self, number: int, request: ClientRequest) -> None:
+        """Pass a client's request to the balancer."""
         self._requests[number] = request
         self._fleet.schedule(request.deadline, lambda: self._expire(number))
         name = request.kind.request_class.name
@@ -239,7 +251,7 @@
         request.attempts.append(AttemptRecord(action.server, fleet.now))
         fleet.count_violation("send after its answer", bool(request.answers))
         fleet.count_violation(
-            "send to a server told to leave", self._listed_states.get(action.server) is not State.READY
+            "send to a server that is not ready", self._listed_states.get(action.server) is not State.READY
         )
         fleet.count_violation("send past the deadline", fleet.now >= request.deadline)
         fleet.serve(
@@ -263,12 +275,12 @@
             self._requests.pop(number, None)
 
     def _answer(self, request: ClientRequest, answer: str) -> None:
-        self._fleet.count_violation("answer too many", bool(request.answers))
+        self._fleet.count_violation("second answer", bool(request.answers))
         request.answers.append(answer)
         request.answered_at = self._fleet.now
 
     def _expire(self, number: int) -> None:
-        """Its client's time is up: what is out has timed out, and the balancer says what it says."""
+        """Time out the running attempts at the client's deadline; the balancer answers if it has not yet."""
         request = self._requests.get(number)
         if request is None:
             return
@@ -280,23 +292,23 @@
 
 @dataclass
 class Fleet:
-    """The whole of it. `load` is the share of what all cores can do that first tries ask for."""
+    """The whole fleet. `load` is the share of the capacity of all cores that first tries need."""
 
     machines: Sequence[Machine]
     request_kinds: Sequence[RequestKind]
     gateway_count: int
     load: float
     faults: Sequence[Fault] = ()
-    retries: int = 1  # by clients, 100 ms after a refusal or failure, within the deadline
+    retries: int = 1  # a client's retries, 100 ms after a refusal or failure, within the deadline
     zones: Sequence[str] = ("a",)
-    cross_zone_delay: int = 2 * MS  # one way, to another zone
+    cross_zone_delay: int = 2 * MS  # one way, between a gateway and a server of another zone
     warmup: Warmup | None = None
     bursts: Sequence[Burst] = ()
     seed: int = 1
     now: int = 0
     violations: Counter[str] = field(default_factory=Counter)
-    cold_loads: list[ColdLoad] = field(default_factory=list)  # of each server that was started anew
-    client_requests: list[list[ClientRequest]] = field(default_factory=list)  # by client's request, its tries
+    cold_loads: list[ColdLoad] = field(default_factory=list)  # one for each restarted server
+    client_requests: list[list[ClientRequest]] = field(default_factory=list)  # each with its retries
 
     def __post_init__(self) -> None:
         self._random = Random(self.seed)
@@ -304,8 +316,8 @@
         self._order = itertools.count()
         self._ids = itertools.count(1)
         self._by_id = {machine.id: machine for machine in self.machines}
-        self._unanswered: dict[int, dict[int, Callable[[Outcome], None]]] = {}  # by server, what it owes
-        self._executions: dict[int, list[tuple[str, int]]] = {}  # by key, in which zone and when it ran
+        self._unanswered: dict[int, dict[int, Callable[[Outcome], None]]] = {}  # by server, then by work id
+        self._executions: dict[int, list[tuple[str, int]]] = {}  # by key, the zone and moment of each
         self._cold_by_server: dict[int, ColdLoad] = {}
         total_share = sum(kind.share for kind in self.request_kinds)
         self._mean_work = sum(kind.share * kind.core_time for kind in self.request_kinds) / total_share
@@ -332,13 +344,16 @@
         )
 
     def schedule(self, due: int, callback: Callable[[], None]) -> None:
+        """Call back at a moment of simulated time."""
         heapq.heappush(self._events, (due, next(self._order), callback))
 
     def count_violation(self, rule: str, is_broken: bool) -> None:
+        """Count a violation of a rule, if it is broken."""
         if is_broken:
             self.violations[rule] += 1
 
     def list_servers(self, leaving: frozenset[int] = frozenset()) -> None:
+        """Pass the list of servers to all gateways; those in `leaving` drain."""
         servers = [
             Server(
                 each.id,
@@ -352,7 +367,7 @@
             gateway.list_servers(servers)
 
     def restart(self, server: int) -> None:
-        """Its process starts anew: what it holds is lost, after it ran. What its zone remembers stays."""
+        """Restart a server: its requests are lost after they ran, and its zone's record of keys stays."""
         old = self._by_id[server]
         new = self._by_id[server] = Machine(
             server,
@@ -373,7 +388,7 @@
         self.list_servers()
 
     def run(self, until: int) -> None:
-        """From the start to the end of the arrivals, and on until all is answered."""
+        """Run from the start to the end of the arrivals, and on until every event is over."""
         self.list_servers()
         rate = self.load * sum(each.cores * each.speed for each in self.machines) / self._mean_work
         arrives = 0.0
@@ -408,7 +423,7 @@
             self.schedule(self.now + 100 * MS, lambda: self._retry(request, submissions))
 
     def _retry(self, request: ClientRequest, submissions: list[ClientRequest]) -> None:
-        """A client looks 100 ms later whether it was turned away; a key stays the same for its repeat."""
+        """Send a client's retry, with the same key, if its request was refused or failed safely."""
         if not request.answers or request.answers[0] == "served" or self.now >= request.deadline:
             return
         if request.answers[0] == "failed" and request.kind.request_class.effect is not Effect.IDEMPOTENT:
@@ -420,6 +435,7 @@
         self._submit(again, submissions)
 
     def serve(self, zone: str, request: ClientRequest, server: int, end: Callable[[Outcome], None]) -> None:
+        """Send an attempt to a server; `end` is called with its outcome."""
         machine = self._by_id[server]
         delay = NETWORK_DELAY if machine.zone == zone else self.cross_zone_delay
         self.schedule(self.now + delay, lambda: self._reach_server(machine, request, delay, end))
@@ -440,7 +456,7 @@
         self._execute(machine, request)
         if any(fault.is_silent for fault in active_faults):
             return
-        machine.update_overload(self.now)  # it may have rested until now
+        machine.update_overload(self.now)  # it may have recovered by now
         machine.in_flight += 1
         machine.update_overload(self.now)
         finished_at = machine.process(
@@ -451,23 +467,23 @@
         self.schedule(finished_at, lambda: self._complete(machine, work_id, delay))
 
     def _complete(self, machine: Machine, work_id: int, delay: int) -> None:
-        if self._by_id[machine.id] is not machine:  # that process is gone, and what it owed with it
+        if self._by_id[machine.id] is not machine:  # it has restarted since, and its work is lost
             return
         machine.in_flight -= 1
         machine.update_overload(self.now)
         self.schedule(self.now + delay, partial(self._unanswered[machine.id].pop(work_id), Outcome.OK))
 
     def _execute(self, machine: Machine, request: ClientRequest) -> None:
-        """It runs, unless the group of its key drops it; what it must not do twice is counted."""
+        """Run a request, unless its key's group drops it as a repeat; count an effect that runs twice."""
         kind, executions = request.kind.request_class, self._executions.setdefault(request.key, [])
         fresh = [zone for zone, at in executions if self.now < at + max(kind.dedup_window, 1)]
         if kind.effect is Effect.KEYED and machine.zone in fresh:
             return
-        self.count_violation("effect twice", bool(executions) and kind.effect is not Effect.IDEMPOTENT)
+        self.count_violation("effect ran twice", bool(executions) and kind.effect is not Effect.IDEMPOTENT)
         executions.append((machine.zone, self.now))
 
     def goodput(self, start: int, end: int) -> float:
-        """Share of the clients' requests of that time that were served within their aim."""
+        """Return the share of the clients' requests of that time that were served within their aim."""
         submissions = [each for each in self.client_requests if start <= each[0].arrived_at < end]
         return sum(self._in_time(each) for each in submissions) / max(1, len(submissions))
 
@@ -476,4 +492,5 @@
         return any(each.answers[:1] == ["served"] and each.answered_at <= due for each in submissions)
 
     def overloaded_count(self) -> int:
+        """Return the number of overloaded servers."""
         return sum(machine.is_overloaded for machine in self.machines)
--- a/standins/web.py
+++ b/standins/web.py
@@ -2,8 +2,8 @@
 
     python -m standins.web CONTROL PORT...
 
-A line to the control port: `mode PORT serve|slow|silent|reset|fail|refuse`, `count PORT` (requests that
-began, by id: `all N, twice N`), `down PORT`, `up PORT`.
+Commands on the control port, one a line: `mode PORT serve|slow|silent|reset|fail|refuse`; `count PORT`
+(requests that began, counted by id: `all N, twice N`); `down PORT`; `up PORT`.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from standins import control
 
 MODES = ("serve", "slow", "silent", "reset", "fail", "refuse")
-SLOW_SECONDS = 0.5  # seconds
-MAX_IDS = 1_000_000  # that are remembered for the count
+SLOW_SECONDS = 0.5  # before a host in mode "slow" answers
+MAX_IDS = 1_000_000  # request ids that a host counts; further ones are ignored
 
 _RESPONSES = {
     "serve": b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\npage\n",
@@ -28,24 +28,24 @@
 
 
 class Host:
-    """One host on one port."""
+    """One host on one port of loopback; port 0 takes a free one."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.mode = "serve"
-        self.request_counts: Counter[str] = Counter()
+        self.request_counts: Counter[str] = Counter()  # by X-Request-Id
         self._server: asyncio.Server | None = None
         self.connections: set[_Connection] = set()
 
     async def start(self) -> None:
-        """Listen, if it does not."""
+        """Listen, unless it does already."""
         if self._server is None:
             loop = asyncio.get_running_loop()
             self._server = await loop.create_server(lambda: _Connection(self), "127.0.0.1", self.port)
             self.port = self._server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Be gone at once, with all connections."""
+        """Stop listening and reset all connections at once."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -53,11 +53,14 @@
             connection.abort()
 
     def count_request(self, request_id: str) -> None:
+        """Count a request that began."""
         if len(self.request_counts) < MAX_IDS or request_id in self.request_counts:
             self.request_counts[request_id] += 1
 
 
 class _Connection(asyncio.Protocol):
+    """A client's connection; answers each request as the host's mode says."""
+
     def __init__(self, host: Host) -> None:
         self._host = host
         self._parser = httptools.HttpRequestParser(self)
@@ -72,6 +75,7 @@
         self._host.connections.discard(self)
 
     def abort(self) -> None:
+        """Reset the connection."""
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -101,14 +105,14 @@
 
 
 class Fleet:
-    """Some hosts, and what a control port may tell them."""
+    """Hosts by port, and the commands of their control port."""
 
     def __init__(self, ports: list[int]) -> None:
         self.hosts = {port: Host(port) for port in ports}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def run_command(self, words: list[str]) -> str:
-        """Carry out one line; ValueError if it is none."""
+        """Run one command and return its answer; ValueError if there is no such command or host."""
         match words:
             case ["mode", port, mode] if mode in MODES:
                 self._host(port).mode = mode
@@ -122,7 +126,7 @@
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             case _:
-                raise ValueError("say mode PORT MODE, count PORT, down PORT or up PORT")
+                raise ValueError("the commands are mode PORT MODE, count PORT, down PORT and up PORT")
         return "ok"
 
     def _host(self, port: str) -> Host:
@@ -133,7 +137,7 @@
 
 
 async def run(control_port: int, ports: list[int]) -> None:
-    """Serve until cancelled."""
+    """Start the hosts and their control port, and serve until cancelled."""
     fleet = Fleet(ports)
     for host in fleet.hosts.values():
         await host.start()
--- a/tests/benchmarks/test_deployments.py
+++ b/tests/benchmarks/test_deployments.py
@@ -1,15 +1,15 @@
-"""What is drawn must be the same anywhere, and must not share what the parent goes by."""
+"""A drawn deployment is the same on any machine, and shares no state or relative path with its parent."""
 
 from __future__ import annotations
 
 import tomllib
 from pathlib import Path
 
-from benchmarks.deployments import Site, draw, faster
+from benchmarks.deployments import Site, draw_variant, speed_up
 
 PARENT: Site = tomllib.loads("""
 name = "made-up"
-stock = "days of its own"
+stock = "dropped"
 wire = "beside.json"
 [scale]
 servers = [10, 14]
@@ -38,22 +38,22 @@
 aim_ms = 400
 deadline_ms = 2000
 """)
-HERE = Path(__file__).parent
+FOLDER = Path(__file__).parent
 
 
-def test_a_seed_draws_the_same_deployment_and_leaves_its_parent_alone() -> None:
-    before = repr(PARENT)
-    drawn = [draw(PARENT, seed, HERE) for seed in range(20)]
-    assert drawn == [draw(PARENT, seed, HERE) for seed in range(20)]
-    assert repr(PARENT) == before
-    assert len({repr(site) for site, _ in drawn}) == 20
-    for site, _ in drawn:
+def test_a_seed_gives_the_same_variant_and_does_not_change_the_parent() -> None:
+    parent_before = repr(PARENT)
+    variants = [draw_variant(PARENT, seed, FOLDER) for seed in range(20)]
+    assert variants == [draw_variant(PARENT, seed, FOLDER) for seed in range(20)]
+    assert repr(PARENT) == parent_before
+    assert len({repr(site) for site, _ in variants}) == 20
+    for site, _ in variants:
         assert "stock" not in site
         assert Path(site["wire"]).is_absolute()
-        assert all(0 < end < 1 for key in ("quiet", "trouble", "big") for end in site["load"][key])
+        assert all(0 < limit < 1 for key in ("quiet", "trouble", "big") for limit in site["load"][key])
 
 
-def test_faster_has_the_same_work_asked_for_in_more_requests() -> None:
-    site = faster(PARENT, 4, HERE)
+def test_speed_up_splits_the_same_work_into_more_requests() -> None:
+    site = speed_up(PARENT, 4, FOLDER)
     assert site["class"] == [{"work_ms": [10, 20], "aim_ms": 100, "deadline_ms": 500}]
     assert (site["tier"], site["load"]) == (PARENT["tier"], PARENT["load"])
--- a/tests/control/test_calls.py
+++ b/tests/control/test_calls.py
@@ -30,7 +30,7 @@
 
 
 async def control_call(port: int, call: str) -> str:
-    """The answer to a call."""
+    """Make a call; return the answer."""
     async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(call.encode() + b"\r\n")
@@ -42,7 +42,7 @@
 
 @asynccontextmanager
 async def running_with_control(folder: Path, config: dict[str, Any]) -> AsyncIterator[tuple[Any, int, int]]:
-    """A gateway's process, the port of its clients and that of its operators."""
+    """Start a gateway; yield its process, its clients' port and its control port."""
     async with running_program(folder, config, PROXY_CONTROL="127.0.0.1:0") as process:
         control = int((await wait_for_log(process, "takes calls on")).rsplit(":", 1)[1])
         yield process, int((await wait_for_log(process, "listens on")).rsplit(":", 1)[1]), control
@@ -53,7 +53,7 @@
 
 
 @async_test
-async def test_a_host_is_out_until_it_is_called_back_whatever_is_listed(tmp_path: Path) -> None:
+async def test_a_host_stays_out_until_put_back_whatever_is_listed(tmp_path: Path) -> None:
     async with scripted_servers(answers_with(body=b"one"), answers_with(body=b"two"), _watch) as (
         one,
         two,
@@ -80,7 +80,7 @@
 
 
 @async_test
-async def test_a_drain_ends_idle_connections_and_answers_what_is_held(tmp_path: Path) -> None:
+async def test_a_drain_closes_idle_connections_and_answers_held_requests(tmp_path: Path) -> None:
     async with (
         scripted_servers(never_answers, _watch) as (host, service),
         running_with_control(tmp_path, platform_config(service.port, host.discovery_entry())) as (
@@ -115,7 +115,7 @@
 
 
 @async_test
-async def test_calls_are_answered_beside_callers_that_say_nothing_and_noise(tmp_path: Path) -> None:
+async def test_calls_are_answered_despite_silent_callers_and_invalid_lines(tmp_path: Path) -> None:
     async with (
         scripted_servers(_watch) as (service,),
         running_with_control(tmp_path, platform_config(service.port)) as (_, port, control),
@@ -123,7 +123,7 @@
         silent_callers = [await asyncio.open_connection("127.0.0.1", control) for _ in range(100)]
         crowd = [await Client.connect(port) for _ in range(100)]
         begun = time.monotonic()
-        assert (await control_call(control, "HEALTH")).startswith("-ERR")  # it has no list of hosts
+        assert (await control_call(control, "HEALTH")).startswith("-ERR")  # there is no list of hosts
         assert (await control_call(control, "LEAVE")).startswith("+OK")
         assert (await control_call(control, "\x00\x01 noise")).startswith("-ERR")
         assert (await control_call(control, "HEALTH" * 200)).startswith("-ERR")
@@ -135,7 +135,7 @@
 
 
 @async_test
-async def test_the_command_line_calls_and_says_by_its_exit_code(tmp_path: Path) -> None:
+async def test_ctl_prints_the_answer_and_sets_the_exit_code(tmp_path: Path) -> None:
     async with (
         scripted_servers(answers_with(), _watch) as (host, service),
         running_with_control(tmp_path, platform_config(service.port, host.discovery_entry())) as (
@@ -168,7 +168,7 @@
 
 
 @async_test
-async def test_settings_are_taken_as_a_whole_while_requests_are_under_way(tmp_path: Path) -> None:
+async def test_settings_are_replaced_as_a_whole_while_requests_are_in_progress(tmp_path: Path) -> None:
     async def slow(request: Message, writer: asyncio.StreamWriter) -> None:
         if b"page-read" not in request.target:
             await answers_with(body=b"now")(request, writer)
--- a/tests/control/test_session.py
+++ b/tests/control/test_session.py
@@ -1,4 +1,4 @@
-"""The line of an operator, in any pieces."""
+"""An operator's line, received in pieces of any size, and the answers to calls."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @given(LINES, st.lists(st.integers(0, 640)))
-def test_pieces_say_what_the_whole_says(line: bytes, cuts: list[int]) -> None:
+def test_the_call_does_not_depend_on_how_the_line_is_split(line: bytes, cuts: list[int]) -> None:
     offsets = sorted({0, *(cut for cut in cuts if cut < len(line)), len(line)})
     pieces = [line[a:b] for a, b in pairwise(offsets)]
     assert _outcome(pieces) == _outcome([line])
--- a/tests/faults/test_local_failures.py
+++ b/tests/faults/test_local_failures.py
@@ -1,4 +1,4 @@
-"""Failures of this machine are no failure of a host: no breaker opens, no limit is cut."""
+"""Local failures of connect() do not count against a host: no breaker opens, and no limit is lowered."""
 
 from __future__ import annotations
 
@@ -10,11 +10,18 @@
 
 from tests.peers import answers_with, async_test, running_gateway, scripted_servers
 
-LOCAL = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENFILE, errno.EMFILE, errno.ENETUNREACH, errno.ENOMEM)
+LOCAL_ERRORS = (
+    errno.EADDRNOTAVAIL,
+    errno.ENOBUFS,
+    errno.ENFILE,
+    errno.EMFILE,
+    errno.ENETUNREACH,
+    errno.ENOMEM,
+)
 
 
 class FailingConnect:
-    """Has the loop's connections fail with these errors, one after the other, then none."""
+    """Makes connections fail with these errors, one after the other, and succeed after that."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.errors: list[int] = []
@@ -22,7 +29,7 @@
 
         async def sock_connect(loop: Any, *args: Any) -> None:
             if self.errors:
-                raise OSError(self.errors.pop(), "it fails for a moment")
+                raise OSError(self.errors.pop(), "a failure of this test")
             await real(loop, *args)
 
         monkeypatch.setattr(asyncio.SelectorEventLoop, "sock_connect", sock_connect)
@@ -33,7 +40,7 @@
     return FailingConnect(monkeypatch)
 
 
-@pytest.mark.parametrize("error", LOCAL)
+@pytest.mark.parametrize("error", LOCAL_ERRORS)
 @async_test
 async def test_momentary_local_failure_costs_no_request(failing: FailingConnect, error: int) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
@@ -52,7 +59,7 @@
         limits = {server: host.limit for server, host in proxy.balancer._hosts.items()}
         client = await proxy.client()
         for _ in range(5):
-            failing.errors = list(LOCAL) * 10
+            failing.errors = list(LOCAL_ERRORS) * 10
             assert (await client.fetch()).status in (200, 503)
         failing.errors = []
         assert all(host.breaker.is_closed for host in proxy.balancer._hosts.values())
--- a/tests/faults/test_start.py
+++ b/tests/faults/test_start.py
@@ -1,4 +1,4 @@
-"""A start bears that no socket is to be had for a moment; an address that is taken still ends it."""
+"""A start retries when no socket is available for a moment; an address in use still ends it."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 MOMENTARY = (errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE)
 
 
-def _failing(monkeypatch: pytest.MonkeyPatch, errors: list[int]) -> None:
-    """Have listening sockets fail with these errors, one after the other, then none."""
-    real = socket.create_server
+def _inject_errors(monkeypatch: pytest.MonkeyPatch, errors: list[int]) -> None:
+    """Make listening sockets fail with these errors, one after the other, and then succeed."""
+    real_create_server = socket.create_server
 
     def create_server(*args: Any, **kwargs: Any) -> socket.socket:
         if errors:
-            raise OSError(errors.pop(), "it fails for a moment")
-        return real(*args, **kwargs)
+            raise OSError(errors.pop(), "momentary failure")
+        return real_create_server(*args, **kwargs)
 
     monkeypatch.setattr(socket, "create_server", create_server)
 
@@ -38,16 +38,16 @@
 
 
 @async_test
-async def test_listening_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        proxy.frontend.close_listener()
+async def test_listening_is_retried_after_a_momentary_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as gateway:
+        gateway.frontend.close_listener()
         errors = list(MOMENTARY)
-        _failing(monkeypatch, errors)
-        client = await Client.connect(await program._listen(_options(), proxy.frontend))
+        _inject_errors(monkeypatch, errors)
+        client = await Client.connect(await program._listen(_options(), gateway.frontend))
         assert (await client.fetch()).status == 200
         assert not errors
         errors.extend(MOMENTARY)
-        controller = cast(OperationsController, SimpleNamespace(register_calls=lambda calls, ready: None))
+        controller = cast(OperationsController, SimpleNamespace(register_calls=lambda calls, is_ready: None))
         control = await program._start_control(_options(), controller, lambda: True)
         assert control is not None
         assert not errors
@@ -55,11 +55,11 @@
 
 
 @async_test
-async def test_a_process_with_no_socket_to_ask_by_starts_from_nothing(
+async def test_a_process_that_gets_no_socket_starts_without_the_older_one_s_state(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     def no_socket(*args: object) -> socket.socket:
-        raise OSError(errno.ENFILE, "it fails")
+        raise OSError(errno.ENFILE, "no socket")
 
     monkeypatch.setattr(channel, "socket", SimpleNamespace(socket=no_socket, AF_UNIX=socket.AF_UNIX))
     assert await channel.connect(tmp_path / "line", cast(channel.PeerHandler, None)) is None
@@ -67,18 +67,18 @@
 
 @pytest.mark.parametrize("error", [errno.EADDRINUSE, errno.EACCES, errno.EADDRNOTAVAIL])
 @async_test
-async def test_what_lasts_ends_the_start(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
-    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        proxy.frontend.close_listener()
-        _failing(monkeypatch, [error])
+async def test_a_lasting_error_ends_the_start(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as gateway:
+        gateway.frontend.close_listener()
+        _inject_errors(monkeypatch, [error])
         with pytest.raises(ConfigError):
-            await program._listen(_options(), proxy.frontend)
+            await program._listen(_options(), gateway.frontend)
 
 
 @async_test
-async def test_a_want_that_does_not_end_ends_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        proxy.frontend.close_listener()
-        _failing(monkeypatch, [errno.ENOMEM] * 1000)
+async def test_a_lasting_shortage_ends_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as gateway:
+        gateway.frontend.close_listener()
+        _inject_errors(monkeypatch, [errno.ENOMEM] * 1000)
         with pytest.raises(ConfigError):
-            await program._listen(_options(), proxy.frontend)
+            await program._listen(_options(), gateway.frontend)
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -1,4 +1,4 @@
-"""The machine's wall clock is stepped while its monotonic clock runs on: rules go by spans of real time."""
+"""Steps of the wall clock, while the monotonic clock runs on, change no duration."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
 @async_test
 async def test_open_breaker_survives_an_upgrade_over_a_clock_step(tmp_path: Path, step: int) -> None:
-    """A breaker that was to reopen in a quarter of a second is not taken to reopen in an hour."""
+    """The new process keeps the rest of the breaker's cooldown, a quarter of a second, and not an hour."""
     library = faults.build(tmp_path)
     stepped = faults.environment(library, steps=[step])
     is_healthy = False
@@ -57,15 +57,15 @@
                     is_healthy = True
                     old.process.terminate()
                     assert await old.ended() == 0
-                    await until_served(port)
+                    await wait_until_served(port)
 
 
-def desk_of(proxy: RunningGateway) -> OperationsController:
+def controller_of(proxy: RunningGateway) -> OperationsController:
     loop = asyncio.get_running_loop()
     return OperationsController(proxy.gateway.clock.now, loop.time, proxy.gateway.update_hosts, Presence())
 
 
-async def until_served(port: int) -> None:
+async def wait_until_served(port: int) -> None:
     status = 0
     while status != 200:
         client = await Client.connect(port)
@@ -79,16 +79,16 @@
 async def test_new_host_is_cold_for_its_ramp_time_whatever_the_wall_clock(
     monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
-    real = time.time_ns
-    monkeypatch.setattr(time, "time_ns", lambda: real() + step * 10**9)
+    real_time_ns = time.time_ns
+    monkeypatch.setattr(time, "time_ns", lambda: real_time_ns() + step * 10**9)
     async with (
         scripted_servers(answers_with(), answers_with()) as hosts,
         running_gateway(settings=SLOW_START_SETTINGS) as proxy,
     ):
-        desk = desk_of(proxy)
-        old, new = hosts[0].member(), hosts[1].member(started_at=real() // 1000)
-        desk.apply_list(HostList(1, True, (old,)))
-        desk.apply_list(HostList(2, False, (new,)))
+        controller = controller_of(proxy)
+        old, new = hosts[0].member(), hosts[1].member(started_at=real_time_ns() // 1000)
+        controller.apply_list(HostList(1, True, (old,)))
+        controller.apply_list(HostList(2, False, (new,)))
         host = proxy.balancer._hosts[new.server.id]
         now = proxy.gateway.clock.now()
         assert proxy.balancer._min_capacity_share(host, now) < 0.2
@@ -98,15 +98,15 @@
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
 @async_test
 async def test_first_list_treats_the_newest_start_as_now(monkeypatch: pytest.MonkeyPatch, step: int) -> None:
-    """Its first list tells starts alone: as far as it knows, the newest of them was just now."""
-    real = time.time_ns
-    monkeypatch.setattr(time, "time_ns", lambda: real() + step * 10**9)
-    started = real() // 1000
+    """A new process knows only the starts in its first list, and the newest of them may be just now."""
+    real_time_ns = time.time_ns
+    monkeypatch.setattr(time, "time_ns", lambda: real_time_ns() + step * 10**9)
+    started = real_time_ns() // 1000
     async with running_gateway(settings=SLOW_START_SETTINGS) as proxy:
-        desk = desk_of(proxy)
+        controller = controller_of(proxy)
         newest = Member(Server(1, started_at=started), ("127.0.0.1", 1))
         older = Member(Server(2, started_at=started - RAMP), ("127.0.0.1", 1))
-        desk.apply_list(HostList(1, True, (newest, older)))
+        controller.apply_list(HostList(1, True, (newest, older)))
         now, hosts = proxy.gateway.clock.now(), proxy.balancer._hosts
         assert proxy.balancer._min_capacity_share(hosts[1], now) < 0.2
         assert proxy.balancer._min_capacity_share(hosts[2], now) == 1
@@ -114,7 +114,7 @@
 
 @async_test
 async def test_host_put_back_after_a_clock_step_is_used_again(tmp_path: Path) -> None:
-    """Taken out under one clock and put back under another; discovery tells its restart between the two."""
+    """The host is taken out before a step of the clock and put back after it."""
     library = faults.build(tmp_path)
     stepped = faults.environment(library, steps=[HOUR, -HOUR, 5], step_seconds=0.5)
     async with scripted_servers(answers_with(body=b"one"), answers_with(body=b"two"), _watch) as (
@@ -124,13 +124,13 @@
     ):
         with listening_socket() as listener:
             config = platform_config(service.port, one.discovery_entry(), two.discovery_entry())
-            async with running_gateway_process(tmp_path, listener, config, stepped) as running_one:
-                await wait_until_ready(running_one)
-                assert (await control_call(running_one.control, "OFFLINE s-0")).startswith("+OK")
+            async with running_gateway_process(tmp_path, listener, config, stepped) as old:
+                await wait_until_ready(old)
+                assert (await control_call(old.control, "OFFLINE s-0")).startswith("+OK")
                 async with running_gateway_process(tmp_path, listener, config, stepped) as new:
                     await wait_until_ready(new)
-                    running_one.process.terminate()
-                    await running_one.ended()
+                    old.process.terminate()
+                    await old.ended()
                     assert (await control_call(new.control, "ONLINE s-0")).startswith("+OK")
                     answers: set[bytes] = set()
                     while answers != {b"one", b"two"}:
--- a/tests/handover/test_connections.py
+++ b/tests/handover/test_connections.py
@@ -1,10 +1,9 @@
-"""Clients' connections go on in the next process, whatever they are in the middle of.
+"""Client connections are transferred to the next process in any state.
 
-What happened: an idempotency-keyed order with a body of 70 to 200 KB came at 200 KB a second on a kept
-connection, its attempt began with the body's first bytes, and its process was replaced. SIGKILL ended the
-connection with no byte of an answer; the client asked again, as clients do, and the order ran a second time,
-2.5 s later and so past the window of 1 s in which hosts drop repeats. What was not an answer under way stayed
-with the older process.
+The failure: a keyed order with a body of 70 to 200 KB arrived at 200 KB a second on a kept-alive connection.
+Its attempt had begun with the first bytes of the body when its process was replaced. SIGKILL ended the
+connection without an answer, the client retried, and the order ran a second time 2.5 s later, which is past
+the window of 1 s in which hosts drop repeats. At that time only answers in progress were transferred.
 """
 
 from __future__ import annotations
@@ -41,8 +40,8 @@
 from whinrouter.net.http import LAST_CHUNK, Message, encode_chunk
 
 BODY = bytes(range(256)) * 1000
-PART_BYTES = 20_000  # bytes of a body that are written at a time
-KILL_DELAY_SECONDS = 2.7  # seconds from SIGTERM to SIGKILL
+PART_BYTES = 20_000  # of a body, written at a time
+KILL_DELAY_SECONDS = 2.7  # from SIGTERM to SIGKILL
 DEADLINE_SECONDS = 2.0
 ORDER = {
     "name": "order",
@@ -55,7 +54,7 @@
 
 @dataclass
 class _Gateway:
-    """The processes of one gateway, one after the other."""
+    """The successive processes of one gateway."""
 
     folder: Path
     host: ScriptedServer
@@ -77,13 +76,13 @@
         self.processes.append(process)
 
     async def upgrade(self) -> None:
-        """Another process; the one before it is ended as the platform does it."""
+        """Start another process and end the one before it as the platform does."""
         await self.start()
         ending = asyncio.get_running_loop().create_task(_terminate_or_kill(self.processes[-2].process))
         self.endings.append(ending)
 
     async def wait_for_older(self) -> None:
-        """All older processes have ended."""
+        """Wait until all older processes have ended."""
         await asyncio.gather(*self.endings)
 
 
@@ -115,7 +114,7 @@
 
 
 def _order(chunked: bool = False, body: bytes = BODY) -> list[bytes]:
-    """An order in the parts in which its client writes it."""
+    """Return an order in the parts in which its client writes it."""
     parts = [body[offset : offset + PART_BYTES] for offset in range(0, len(body), PART_BYTES)]
     framing = b"Content-Length: %d" % len(body)
     if chunked:
@@ -140,7 +139,7 @@
     async with _running_gateway(tmp_path, answers_with(body=b"ordered")) as gateway:
         client = await Client.connect(gateway.port)
         assert (await client.fetch()).status == 200
-        body = BODY * 2  # at the rate below for some 4 s, and more than its process lives
+        body = BODY * 2  # takes about 4 s at the rate below, longer than its process lives
         parts = _order(chunked, body)
         text, begun = b"".join(parts), sum(map(len, parts[:7])) + extra_bytes
         client.writer.write(text[:begun])
@@ -160,9 +159,9 @@
 
 
 @async_test
-async def test_an_upload_is_passed_on_from_process_to_process(tmp_path: Path) -> None:
+async def test_an_upload_is_transferred_several_times(tmp_path: Path) -> None:
     async with _running_gateway(tmp_path, answers_with(body=b"ordered")) as gateway:
-        body = BODY * 2  # at each upgrade more than a body that is held whole is still to come
+        body = BODY * 2  # at each upgrade more is missing than is ever buffered whole
         client, parts = await Client.connect(gateway.port), _order(body=body)
         await _write(client, parts[:5])
         await gateway.upgrade()
@@ -179,7 +178,7 @@
 
 
 @async_test
-async def test_a_kept_connection_goes_on_at_the_next_process(tmp_path: Path) -> None:
+async def test_an_idle_connection_is_transferred(tmp_path: Path) -> None:
     async with _running_gateway(tmp_path, answers_with()) as gateway:
         client = await Client.connect(gateway.port)
         assert (await client.fetch()).keep_alive
@@ -190,10 +189,8 @@
 
 @pytest.mark.parametrize("begun", [1, 40, -30_000, -1])
 @async_test
-async def test_a_request_that_is_being_received_goes_on_at_the_next_process(
-    tmp_path: Path, begun: int
-) -> None:
-    """Within its head, and within a body that is held whole; nothing of it was sent on."""
+async def test_a_partly_received_request_is_transferred(tmp_path: Path, begun: int) -> None:
+    """Cut within its head, and within a body that is buffered whole; nothing of it was sent on."""
     async with _running_gateway(tmp_path, answers_with()) as gateway:
         client, text = await Client.connect(gateway.port), b"".join(_order(body=BODY[:50_000]))
         client.writer.write(text[:begun])
@@ -207,7 +204,7 @@
 
 
 @async_test
-async def test_chunks_that_are_being_received_go_on_at_the_next_process(tmp_path: Path) -> None:
+async def test_a_partly_received_chunked_body_is_transferred(tmp_path: Path) -> None:
     async with _running_gateway(tmp_path, answers_with()) as gateway:
         client, parts = await Client.connect(gateway.port), _order(chunked=True, body=BODY[:50_000])
         await _write(client, parts[:2])
@@ -220,8 +217,8 @@
 
 
 @async_test
-async def test_a_host_that_says_nothing_to_an_upload_that_was_passed_on_is_a_failure(tmp_path: Path) -> None:
-    """It may have run: its client is not told that trying again is harmless."""
+async def test_a_transferred_upload_without_an_answer_fails(tmp_path: Path) -> None:
+    """The host may have run it: the client is not told that a retry is harmless."""
 
     async def silent(request: Message, writer: asyncio.StreamWriter) -> None:
         pass
@@ -237,7 +234,7 @@
 
 
 @async_test
-async def test_a_host_that_breaks_off_after_an_upload_that_was_passed_on_is_a_failure(tmp_path: Path) -> None:
+async def test_a_transferred_upload_that_the_host_resets_fails_and_is_not_repeated(tmp_path: Path) -> None:
     async def breaks(request: Message, writer: asyncio.StreamWriter) -> None:
         reset_connection(writer)
 
@@ -248,11 +245,11 @@
         await gateway.wait_for_older()
         await _write(client, parts[5:])
         assert (await client.read_answer()).status in (502, 504)
-        assert len(gateway.host.requests) == 1, "it is not sent again"
+        assert len(gateway.host.requests) == 1, "the order is not sent again"
 
 
 @async_test
-async def test_a_client_that_leaves_after_its_upload_was_passed_on_ends_it(tmp_path: Path) -> None:
+async def test_a_client_that_leaves_ends_its_transferred_upload(tmp_path: Path) -> None:
     async with _running_gateway(tmp_path, answers_with()) as gateway:
         client, parts = await Client.connect(gateway.port), _order()
         await _write(client, parts[:5])
@@ -266,10 +263,10 @@
 
 @pytest.mark.parametrize("at_a_boundary", [False, True])
 @async_test
-async def test_an_answer_is_passed_on_from_process_to_process_though_its_reader_is_slow(
+async def test_an_answer_with_a_slow_reader_is_transferred_several_times(
     tmp_path: Path, at_a_boundary: bool
 ) -> None:
-    """What the reader has not taken goes over too, and so does an answer that rests between two chunks."""
+    """Bytes not read by the client are transferred too, and so is an answer that pauses between chunks."""
     whole, begun, count = BODY * 40, asyncio.Event(), itertools.count()
 
     async def slowly(request: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/handover/test_long_answers.py
+++ b/tests/handover/test_long_answers.py
@@ -1,4 +1,4 @@
-"""Long answers that are passed on as their process is replaced, and take longer than that may live."""
+"""Long answers that are transferred as their process is replaced, and outlive that process."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 
 BODY = bytes(range(256)) * 2000
 FIRST_PART_BYTES = 200_001
-KILL_DELAY_SECONDS = 3.7  # seconds from SIGTERM to SIGKILL
+KILL_DELAY_SECONDS = 3.7  # from SIGTERM to SIGKILL
 
 
 def _framed(framing: Framing) -> tuple[bytes, bytes]:
-    """An answer in two parts, cut in the middle of its body; the second one goes on to its end."""
+    """Return an answer in two parts, cut in the middle of its body; the second part ends it."""
     first, rest = BODY[:FIRST_PART_BYTES], BODY[FIRST_PART_BYTES:]
     if framing is Framing.LENGTH:
         return b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(BODY) + first, rest
@@ -64,7 +64,7 @@
     continue_sending: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def body(self) -> bytes:
-        """The answer's body, to the end of its connection."""
+        """Return the answer's body, read until the connection ends."""
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             head = await self.reader.readuntil(b"\r\n\r\n")
             raw = await self.reader.read(-1)
@@ -79,7 +79,7 @@
 
 @asynccontextmanager
 async def gateway_being_replaced(folder: Path, framing: Framing) -> AsyncIterator[Replacement]:
-    """Two processes of a gateway; the older one passes on an answer whose host has stopped in the middle."""
+    """Two processes of a gateway; the older one transfers an answer whose host has paused in the middle."""
     continue_sending = asyncio.Event()
     first, rest = _framed(framing)
 
@@ -127,7 +127,7 @@
 
 
 @async_test
-async def test_one_that_was_taken_outlives_a_kill_of_the_older_process(tmp_path: Path) -> None:
+async def test_a_transferred_answer_outlives_a_kill_of_the_older_process(tmp_path: Path) -> None:
     async with gateway_being_replaced(tmp_path, Framing.LENGTH) as replacement:
         await wait_for_log(replacement.new.process, "going on with an answer")
         replacement.old.process.kill()
@@ -137,7 +137,7 @@
 
 
 @async_test
-async def test_one_that_was_taken_holds_up_the_end_of_the_newer_process(tmp_path: Path) -> None:
+async def test_a_relayed_answer_delays_the_exit_of_the_newer_process(tmp_path: Path) -> None:
     async with gateway_being_replaced(tmp_path, Framing.CHUNKED) as replacement:
         await wait_for_log(replacement.new.process, "going on with an answer")
         replacement.old.process.kill()
@@ -149,7 +149,7 @@
 
 
 @async_test
-async def test_a_host_that_breaks_off_resets_the_client(tmp_path: Path) -> None:
+async def test_the_client_gets_no_complete_answer_when_both_processes_are_killed(tmp_path: Path) -> None:
     async with gateway_being_replaced(tmp_path, Framing.LENGTH) as replacement:
         await wait_for_log(replacement.new.process, "going on with an answer")
         replacement.old.process.kill()
@@ -160,7 +160,7 @@
 
 @async_test
 async def test_an_upload_outlives_the_process_that_began_to_read_it(tmp_path: Path) -> None:
-    """A client at 80 kB a second, who needs longer than that process lives."""
+    """A client at 80 kB a second needs longer than that process lives."""
 
     async def watch(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD)
@@ -185,7 +185,7 @@
 
 
 class _FakeAnswer:
-    """An answer that is to be handed over, with two sockets of its own."""
+    """An answer to be handed over, with two sockets of its own."""
 
     def __init__(self) -> None:
         self.client, self.client_peer = socket.socketpair()
@@ -208,14 +208,14 @@
         self.calls.append("resume")
 
     def detach(self) -> None:
-        self.calls.append("let go")
+        self.calls.append("detach")
         self.client.close()
         self.host.close()
 
 
 @async_test
-async def test_nobody_lets_go_before_the_other_side_holds_both(tmp_path: Path) -> None:
-    """No one is there; one takes the call and ends; one says something else; one holds both."""
+async def test_the_sender_keeps_the_sockets_until_the_receiver_holds_them(tmp_path: Path) -> None:
+    """The receiver is absent; closes without a reply; sends another reply; holds both sockets."""
     path, answer = tmp_path / "answers", _FakeAnswer()
     assert not await TransferSender(path).hand_over(answer)
     for reply in (b"", b"what"):
@@ -230,7 +230,7 @@
     receiver = TransferReceiver(path, asyncio.get_running_loop().time)
     await receiver.open()
     assert await TransferSender(path).hand_over(answer)
-    assert answer.calls[-1] == "let go"
+    assert answer.calls[-1] == "detach"
     answer.host_peer.send(b"rest")
     loop = asyncio.get_running_loop()
     answer.client_peer.setblocking(False)
@@ -241,7 +241,7 @@
 
 
 @async_test
-async def test_a_slow_reader_has_all_of_it_however_long_its_last_part_takes(tmp_path: Path) -> None:
+async def test_a_slow_reader_receives_the_whole_answer(tmp_path: Path) -> None:
     path, answer, length = tmp_path / "answers", _FakeAnswer(), 3_000_000
     answer.message = AnswerTransfer(Remainder(Framing.LENGTH, length), length, False)
     loop = asyncio.get_running_loop()
@@ -255,7 +255,7 @@
     while data := await loop.sock_recv(answer.client_peer, 65536):
         count += len(data)
         if sending.done() and count < length:
-            await asyncio.sleep(2 * CLIENT_LINGER_SECONDS / 5)  # the last parts, slowly
+            await asyncio.sleep(2 * CLIENT_LINGER_SECONDS / 5)  # read the last parts slowly
     assert count == length
     await receiver.wait_until_done()
     receiver.stop()
@@ -271,7 +271,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"noise", msgspec.msgpack.encode(["length", 4])])
 @async_test
-async def test_what_is_no_answer_is_not_taken(tmp_path: Path, sent: bytes) -> None:
+async def test_an_invalid_transfer_message_is_rejected(tmp_path: Path, sent: bytes) -> None:
     path = tmp_path / "answers"
     receiver = TransferReceiver(path, asyncio.get_running_loop().time)
     await receiver.open()
@@ -287,6 +287,6 @@
     receiver.stop()
 
 
-def test_the_words_are_bounded() -> None:
+def test_the_size_of_a_transfer_message_is_bounded() -> None:
     largest: Any = AnswerTransfer(Remainder(Framing.CHUNKED, 2**40), 2**40, True)
     assert len(msgspec.msgpack.encode(largest)) < 100
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -1,4 +1,4 @@
-"""What two processes say to each other: in any pieces, out of order, torn."""
+"""The handover's messages: split at any place, out of order, corrupted."""
 
 from __future__ import annotations
 
@@ -55,14 +55,14 @@
 
 
 @given(st.lists(st.integers(0, len(ENCODED))))
-def test_pieces_say_what_the_whole_says(cuts: list[int]) -> None:
+def test_decoding_does_not_depend_on_how_the_bytes_are_split(cuts: list[int]) -> None:
     decoder, offsets = FrameDecoder(), sorted({0, *cuts, len(ENCODED)})
     pieces = [ENCODED[a:b] for a, b in zip(offsets, offsets[1:], strict=False)]  # noqa: RUF007
     assert [message for piece in pieces for message in decoder.feed(piece)] == MESSAGES
 
 
 @given(st.integers(0, len(ENCODED) - 1), st.integers(1, 255))
-def test_a_changed_byte_is_noticed(offset: int, mask: int) -> None:
+def test_a_corrupted_byte_is_detected(offset: int, mask: int) -> None:
     corrupted = bytearray(ENCODED)
     corrupted[offset] ^= mask
     decoder = FrameDecoder()
@@ -70,12 +70,12 @@
         messages = decoder.feed(bytes(corrupted))
     except ProtocolError:
         return
-    assert messages == MESSAGES[: len(messages)], "what came before the change is whole"
+    assert messages == MESSAGES[: len(messages)], "messages before the corrupted byte are complete"
     assert len(messages) < len(MESSAGES)
 
 
 @pytest.mark.parametrize("cut", [1, 11, 40, len(ENCODED) // 2])
-def test_what_is_cut_short_says_nothing_of_its_rest(cut: int) -> None:
+def test_truncated_data_gives_only_complete_messages(cut: int) -> None:
     messages = FrameDecoder().feed(ENCODED[:cut])
     assert messages == MESSAGES[: len(messages)]
 
@@ -100,7 +100,9 @@
         (True, [SNAPSHOT, READY], None),
     ],
 )
-def test_the_order_in_which_they_speak(is_newer: bool, messages: list[Message], phase: Phase | None) -> None:
+def test_messages_are_accepted_only_in_their_phase(
+    is_newer: bool, messages: list[Message], phase: Phase | None
+) -> None:
     session = HandoverSession(is_newer)
     if phase is None:
         with pytest.raises(ProtocolError):
@@ -115,7 +117,7 @@
 
 
 @pytest.mark.parametrize("clocks_apart", [0, 3600 * SECOND, -10 * MS])
-def test_a_module_goes_on_from_what_another_learnt(clocks_apart: int) -> None:
+def test_a_balancer_resumes_from_the_learned_state_of_another(clocks_apart: int) -> None:
     older = _experienced()
     fresh = Balancer(older.settings, 2)
     now = older.now + clocks_apart
@@ -124,4 +126,4 @@
     assert fresh.export_state(now) == older.balancer.export_state(older.now)
     fresh.scale_limits(2.0)
     pairs = zip(fresh.export_state(now).servers, older.balancer.export_state(older.now).servers, strict=True)
-    assert all(ours.limit == pytest.approx(2 * theirs.limit) for ours, theirs in pairs)
+    assert all(restored.limit == pytest.approx(2 * original.limit) for restored, original in pairs)
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Processes that take over from each other at one listening socket, and are killed at each step of it."""
+"""Processes that take over from each other at one listening socket, and are killed at each step."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @contextmanager
 def listening_socket() -> Iterator[socket.socket]:
-    """The socket that whoever starts the processes holds."""
+    """The socket that the processes' parent holds."""
     with socket.create_server(("127.0.0.1", 0), backlog=128) as listener:
         yield listener
 
@@ -106,7 +106,7 @@
 
 
 @async_test
-async def test_what_is_out_stays_out_over_an_upgrade_and_calls_reach_both(tmp_path: Path) -> None:
+async def test_hosts_out_stay_out_over_an_upgrade_and_calls_reach_both_processes(tmp_path: Path) -> None:
     async with (
         two_hosts() as (_, _, listener, config, port),
         running_gateway_process(tmp_path, listener, config) as old,
@@ -131,8 +131,8 @@
 
 
 @async_test
-async def test_nobody_is_refused_and_what_is_held_is_answered(tmp_path: Path) -> None:
-    """Three upgrades, one behind the other, beside clients that keep their connections."""
+async def test_upgrades_refuse_no_client_and_answer_held_requests(tmp_path: Path) -> None:
+    """Three successive upgrades, with clients that keep their connections."""
     held: list[tuple[Message, asyncio.StreamWriter]] = []
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -151,7 +151,7 @@
             while not over.is_set():
                 try:
                     answer = await client.fetch()
-                except ConnectionError:  # it was idle, and its end crossed this request
+                except ConnectionError:  # the idle connection was closed while this request was on its way
                     answer = None
                 if answer is not None:
                     statuses.append(answer.status)
@@ -185,7 +185,7 @@
 
 @async_test
 async def test_a_new_process_that_dies_changes_nothing(tmp_path: Path) -> None:
-    """Killed before it asks, after it was told, and after it served; the next finds the one that is left."""
+    """It is killed before its request, after the snapshot, and while serving; the next finds the survivor."""
     async with (
         two_hosts() as (_, _, listener, config, port),
         running_gateway_process(tmp_path, listener, config) as old,
@@ -193,11 +193,11 @@
         await wait_until_ready(old)
         await control_call(old.control, "OFFLINE s-0")
         path = next(path for path in tmp_path.iterdir() if path.name.startswith("copperlead-"))
-        for step in ("nothing", "half of a hello", "told"):
+        for step in ("before Hello", "within Hello", "after Snapshot"):
             reader, writer = await asyncio.open_unix_connection(str(path))
             hello = encode_frame(Hello("n3", f"127.0.0.1:{port}", os.fstat(listener.fileno()).st_ino))
-            writer.write({"nothing": b"", "half of a hello": hello[:9], "told": hello}[step])
-            if step == "told":
+            writer.write({"before Hello": b"", "within Hello": hello[:9], "after Snapshot": hello}[step])
+            if step == "after Snapshot":
                 assert (await reader.read(4)) == MAGIC
             writer.transport.abort()
             assert await answer_bodies(port) == {b"two"}
@@ -216,7 +216,7 @@
 
 @pytest.mark.parametrize("kind", ["stale", "foreign", "noise", "silent", "plain file"])
 @async_test
-async def test_what_can_not_be_used_means_a_start_from_nothing(tmp_path: Path, kind: str) -> None:
+async def test_an_unusable_peer_means_a_start_without_its_state(tmp_path: Path, kind: str) -> None:
     async with two_hosts() as (_, _, listener, config, port):
         async with running_gateway_process(tmp_path, listener, config) as first:
             await wait_until_ready(first)
@@ -254,7 +254,7 @@
 
 @pytest.mark.parametrize("difference", ["name", "address", "socket"])
 @async_test
-async def test_a_process_of_another_gateway_is_told_nothing(tmp_path: Path, difference: str) -> None:
+async def test_a_process_of_another_gateway_gets_no_snapshot(tmp_path: Path, difference: str) -> None:
     async with (
         two_hosts() as (_, _, listener, config, port),
         running_gateway_process(tmp_path, listener, config) as old,
@@ -277,20 +277,22 @@
 
 
 @async_test
-async def test_another_customer_s_process_at_the_same_name_and_port_gives_nothing(tmp_path: Path) -> None:
-    """Both are told one name, one address and one temporary folder: only the socket tells them apart."""
+async def test_a_gateway_with_the_same_name_and_port_but_another_socket_gives_no_snapshot(
+    tmp_path: Path,
+) -> None:
+    """Name, address and temporary directory are the same: only the socket differs."""
     async with (
-        two_hosts() as (_, _, their_listener, config, port),
-        running_gateway_process(tmp_path, their_listener, config) as their_gateway,
+        two_hosts() as (_, _, other_listener, config, port),
+        running_gateway_process(tmp_path, other_listener, config) as other_gateway,
     ):
-        await wait_until_ready(their_gateway)
-        await control_call(their_gateway.control, "OFFLINE s-0")
-        with socket.socket() as our_listener:  # listens at the same port, of another address of this machine
-            our_listener.bind(("127.0.0.2", port))
-            our_listener.listen(128)
-            async with running_gateway_process(tmp_path, our_listener, config) as our_gateway:
-                await wait_for_log(their_gateway.process, "another gateway")
-                await wait_until_ready(our_gateway)
-                assert (await control_call(our_gateway.control, "HEALTH")).endswith("out=0")
-                assert (await control_call(their_gateway.control, "HEALTH")).endswith("out=1")
-                assert await answer_bodies(port) == {b"two"}, "theirs serves on as it did"
+        await wait_until_ready(other_gateway)
+        await control_call(other_gateway.control, "OFFLINE s-0")
+        with socket.socket() as own_listener:  # the same port at another local address
+            own_listener.bind(("127.0.0.2", port))
+            own_listener.listen(128)
+            async with running_gateway_process(tmp_path, own_listener, config) as own_gateway:
+                await wait_for_log(other_gateway.process, "another gateway")
+                await wait_until_ready(own_gateway)
+                assert (await control_call(own_gateway.control, "HEALTH")).endswith("out=0")
+                assert (await control_call(other_gateway.control, "HEALTH")).endswith("out=1")
+                assert await answer_bodies(port) == {b"two"}, "the other gateway serves as before"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small driver: feeds a balancer events, numbers attempts as a host program would, checks the rules."""
+"""A driver for the tests of the decision module: it plays the host program and checks the rules."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def servers(count: int, **fields: object) -> tuple[Server, ...]:
-    """So many ready servers, in two zones and cells of two."""
+    """Create ready servers, in two zones and in cells of two."""
     return tuple(
         Server(id=number, zone="ab"[number % 2], cell=number // 2, **fields)  # type: ignore[arg-type]
         for number in range(1, count + 1)
@@ -54,6 +54,8 @@
 
 @dataclass
 class SentAttempt:
+    """An attempt that the balancer has sent."""
+
     request: int
     number: int
     server: ServerId
@@ -72,13 +74,11 @@
     classes: tuple[RequestClass, ...] = CLASSES
     now: int = 100 * SECOND
     sent_attempts: list[SentAttempt] = field(default_factory=list)
-    unanswered: dict[int, tuple[Request, int]] = field(default_factory=dict)  # unanswered, with its deadline
+    unanswered: dict[int, tuple[Request, int]] = field(default_factory=dict)  # each with its deadline
     answers: dict[int, list[str]] = field(default_factory=dict)
     class_names: dict[int, str] = field(default_factory=dict)
     listed_servers: dict[ServerId, Server] = field(default_factory=dict)
-    unavailable_since: dict[ServerId, int] = field(
-        default_factory=dict
-    )  # when a server was said to drain or be gone
+    unavailable_since: dict[ServerId, int] = field(default_factory=dict)  # of draining and gone servers
     timers: list[tuple[int, str]] = field(default_factory=list)
     subscribed: int = 0
 
@@ -88,12 +88,14 @@
             self.list_servers(servers(self.server_count))
 
     def feed(self, event: Event) -> list[Action]:
+        """Pass an event to the balancer and check its actions."""
         actions = self.balancer.handle(event, self.now)
         for action in actions:
             self._check(action)
         return actions
 
     def list_servers(self, entries: Iterable[Server], update: Update = Update.FULL) -> list[Action]:
+        """Pass a list of servers to the balancer."""
         listed = {server.id: server for server in entries}
         if update in (Update.FULL, Update.STALE):
             for server in self.listed_servers:
@@ -108,11 +110,12 @@
         return self.feed(ServerList(update, tuple(listed.values())))
 
     def fire_timer(self, due: int, token: str) -> list[Action]:
+        """Advance to a timer's moment and fire it."""
         self.now = max(self.now, due)
         return self.feed(TimerFired(token))
 
     def request(self, class_name: str) -> Request:
-        """A request that is not yet fed."""
+        """Create a request without passing it to the balancer."""
         return Request(len(self.answers) + 1, class_name, 400 * MS)
 
     def submit(
@@ -124,6 +127,7 @@
         is_retry: bool = False,
         tenant: str = "",
     ) -> int:
+        """Pass a new request to the balancer; return its id."""
         request = Request(len(self.answers) + 1, request_class.name, timeout, cost, key, is_retry, tenant)
         self.unanswered[request.id] = (request, self.now + timeout)
         self.answers[request.id] = []
@@ -132,9 +136,11 @@
         return request.id
 
     def attempts(self, request: int) -> list[SentAttempt]:
+        """Return all attempts of a request."""
         return [sent for sent in self.sent_attempts if sent.request == request]
 
     def running(self, request: int | None = None) -> list[SentAttempt]:
+        """Return the running attempts, of one request or of all."""
         return [
             sent for sent in self.sent_attempts if sent.outcome is None and request in (None, sent.request)
         ]
@@ -142,6 +148,7 @@
     def end_attempt(
         self, sent: SentAttempt, outcome: Outcome = Outcome.OK, load: Mapping[str, float] | None = None
     ) -> list[Action]:
+        """End an attempt; the first OK answers its request."""
         assert sent.outcome is None
         sent.outcome = outcome
         if outcome is Outcome.OK and sent.request in self.unanswered:
@@ -161,22 +168,24 @@
         )
 
     def serve(self, request_class: RequestClass = READ, latency: int = 30 * MS) -> SentAttempt:
-        """Ask, and let the first attempt be served."""
+        """Submit a request, and let its first attempt be served."""
         sent = self.running(self.submit(request_class))[0]
         self.now += latency
         self.end_attempt(sent)
         return sent
 
     def start_stream(self, sent: SentAttempt) -> list[Action]:
+        """Let the answer of an attempt begin."""
         return self.feed(StreamStarted(sent.request, sent.number, sent.server, self.now - sent.sent_at))
 
     def disconnect_client(self, request: int) -> list[Action]:
+        """Let the client of a request leave."""
         self.unanswered.pop(request, None)
         self.answers[request].append("left")
         return self.feed(RequestGone(request))
 
     def expire(self) -> None:
-        """Time out what is out past its own time or its client's, as the host program must."""
+        """Time out the attempts at their own or their client's deadline, as the host program must."""
         overdue = [request for request, (_, due) in self.unanswered.items() if due <= self.now]
         for sent in self.running():
             if sent.request in overdue or 0 < sent.expires <= self.now:
--- a/tests/invariants/test_lifecycle.py
+++ b/tests/invariants/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Each guard finds what it is there for, says no where that saves the request, and is never raised from."""
+"""Each guard detects its violation, refuses where that saves the request, and never raises."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     ]
 
 
-@pytest.mark.parametrize("name", ["buy", "nobody announced this"])
+@pytest.mark.parametrize("name", ["buy", "never announced"])
 def test_unsafe_request_is_not_sent_again_while_it_may_run(name: str) -> None:
     guards, life = admitted(name)
     assert send(guards, life)
@@ -192,7 +192,7 @@
 
 
 class RequestSequences(RuleBasedStateMachine):
-    """Any order of wishes: what the guards let through keeps the rules, whatever is asked for."""
+    """Any sequence of acts: what the guards allow keeps the rules, whatever is asked for."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -212,7 +212,7 @@
         if self.guards.may_send(self.life, number, server, is_ready, 0, self.now):
             assert is_ready
             assert not self.has_run
-            assert not self.unfinished, "an unsafe one has no copy"
+            assert not self.unfinished, "an unsafe request has no second attempt"
             assert self.answers == 0
             assert self.now <= START + DEADLINE
             self.unfinished.append(number)
@@ -237,7 +237,7 @@
     @rule()
     def leave(self) -> None:
         self.guards.client_left(self.life, self.now)
-        self.answers = 1  # none may follow
+        self.answers = 1  # no answer may follow
 
 
 RequestSequences.TestCase.settings = settings(max_examples=60, stateful_step_count=20, deadline=None)
--- a/tests/invariants/test_no_bypass.py
+++ b/tests/invariants/test_no_bypass.py
@@ -1,4 +1,4 @@
-"""There is one way to send, to answer and to close, and it leads past a guard: the sources are searched."""
+"""Each act that a guard has to allow is done in one place: this searches the sources for other calls."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _calls(file: str) -> Iterator[tuple[str, str]]:
-    """Each call in a file: the function that it stands in, and its text."""
+    """Each call in a file: the name of the function around it, and the text of the call."""
     tree = ast.parse((NET / file).read_text())
     for function in ast.walk(tree):
         if isinstance(function, ast.FunctionDef | ast.AsyncFunctionDef):
--- a/tests/invariants/test_reporting.py
+++ b/tests/invariants/test_reporting.py
@@ -1,4 +1,4 @@
-"""What a process tells of its invariants: by a call, on a signal, and with its last line."""
+"""A process reports its invariants: in an operator's call, on a signal, and in its last log line."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_jute.py
+++ b/tests/membership/test_jute.py
@@ -1,4 +1,4 @@
-"""The codec of the coordinator's protocol: against arbitrary bytes, and against a real client's own."""
+"""The codec of ZooKeeper's protocol, with arbitrary bytes and against the codec of a real client (kazoo)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from kazoo.protocol import serialization as real
+from kazoo.protocol import serialization as kazoo_codec
 
 from whinrouter.membership.zookeeper.jute import (
     MAX_FRAME_BYTES,
@@ -101,38 +101,40 @@
     stat.write(writer)
     data = writer.to_bytes()
     assert Stat.read(Reader(data)) == stat
-    assert tuple(real.ZnodeStat._make(real.stat_struct.unpack_from(data, 0))) == tuple(stat)
+    assert tuple(kazoo_codec.ZnodeStat._make(kazoo_codec.stat_struct.unpack_from(data, 0))) == tuple(stat)
 
 
 @given(LONG, st.integers(0, 2**31 - 1), LONG, st.binary(max_size=16), st.booleans())
 def test_connect_request_is_encoded_as_by_kazoo(
-    zxid: int, timeout: int, session: int, password: bytes, ro: bool
+    zxid: int, timeout: int, session: int, password: bytes, read_only: bool
 ) -> None:
-    ours = ConnectRequest(zxid, timeout, session, password, ro)
-    theirs = real.Connect(0, zxid, timeout, session, password, ro)
+    ours = ConnectRequest(zxid, timeout, session, password, read_only)
+    theirs = kazoo_codec.Connect(0, zxid, timeout, session, password, read_only)
     assert ours.write() == bytes(theirs.serialize())
     assert ConnectRequest.read(ours.write()) == ours
 
 
 @given(st.integers(0, 2**31 - 1), LONG, st.binary(max_size=16), st.booleans())
-def test_kazoo_decodes_our_connect_response(timeout: int, session: int, password: bytes, ro: bool) -> None:
-    ours = ConnectResponse(timeout, session, password, ro)
-    theirs, _ = real.Connect.deserialize(ours.write(), 0)
+def test_kazoo_decodes_our_connect_response(
+    timeout: int, session: int, password: bytes, read_only: bool
+) -> None:
+    ours = ConnectResponse(timeout, session, password, read_only)
+    theirs, _ = kazoo_codec.Connect.deserialize(ours.write(), 0)
     assert (theirs.time_out, theirs.session_id, theirs.passwd or b"", theirs.read_only) == tuple(ours)
     assert ConnectResponse.read(ours.write()) == ours
 
 
 @given(INT, LONG, INT)
 def test_kazoo_decodes_our_reply_header(xid: int, zxid: int, code: int) -> None:
-    theirs, _ = real.ReplyHeader.deserialize(ReplyHeader(xid, zxid, code).write().to_bytes(), 0)
+    theirs, _ = kazoo_codec.ReplyHeader.deserialize(ReplyHeader(xid, zxid, code).write().to_bytes(), 0)
     assert (theirs.xid, theirs.zxid, theirs.err) == (xid, zxid, code)
 
 
 @given(st.sampled_from([1, 2, 3, 4]), TEXT)
 def test_kazoo_decodes_our_watcher_event(kind: int, path: str) -> None:
     data = WatcherEvent(kind, path).write()
-    head, at = real.ReplyHeader.deserialize(data, 0)
-    theirs, _ = real.Watch.deserialize(data, at)
+    head, at = kazoo_codec.ReplyHeader.deserialize(data, 0)
+    theirs, _ = kazoo_codec.Watch.deserialize(data, at)
     assert head.xid == -1
     assert (theirs.type, theirs.path) == (kind, path)
     reader = Reader(data)
--- a/tests/membership/test_start_times.py
+++ b/tests/membership/test_start_times.py
@@ -1,4 +1,4 @@
-"""Start times are told by other clocks: no host is taken for older than it is."""
+"""Start times come from other machines' clocks: no host is treated as older than it is."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @given(st.lists(st.integers(0, 7200), min_size=1, max_size=6), SKEWS, st.integers(0, 100))
 def test_first_list_makes_no_host_older_than_it_is(ages: list[int], skew: int, delay: int) -> None:
-    """Whatever the lists' clock is off by, and however late the list comes."""
+    """However wrong the clock of the list is, and however late the list arrives."""
     servers = [Server(n, started_at=UNIX + skew - age * SECOND) for n, age in enumerate(ages)]
     localised = StartTimes().localise(servers, NOW + delay * SECOND)
     for server, age in zip(localised, ages, strict=True):
--- a/tests/operations/test_maintenance.py
+++ b/tests/operations/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Hosts taken out: a model beside any order of lists and calls."""
+"""Hosts taken out: a model-based test over any order of lists and calls."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class MaintenanceMachine(RuleBasedStateMachine):
-    """The gateway has what discovery lists less what is out, and cold where it was put back."""
+    """The gateway's hosts are the listed ones without those out; a host that was put back is cold."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state = Maintenance()
         self.now = 100
-        self.shown: dict[ServerId, Server] = {}  # what the gateway has
-        self.listed: dict[ServerId, Server] = {}  # what discovery has told
+        self.shown: dict[ServerId, Server] = {}  # as the gateway has them
+        self.listed: dict[ServerId, Server] = {}  # as discovery lists them
         self.out: set[ServerId] = set()
 
     def _deliver(self, servers: tuple[Server, ...]) -> None:
@@ -31,7 +31,7 @@
             self.shown[server.id] = server
 
     @rule(server_id=IDS, state=STATES, restarted=st.booleans())
-    def changes(self, server_id: int, state: State, restarted: bool) -> None:
+    def change_host(self, server_id: int, state: State, restarted: bool) -> None:
         self.now += 10
         started = self.now if restarted else self.listed.get(server_id, Server(server_id)).started_at
         server = Server(server_id, state, started_at=started)
@@ -42,7 +42,7 @@
         self._deliver(self.state.apply(Update.CHANGES, (server,)))
 
     @rule(ids=st.sets(IDS))
-    def whole(self, ids: set[int]) -> None:
+    def replace_list(self, ids: set[int]) -> None:
         self.now += 10
         self.listed = {i: replace(self.listed.get(i, Server(i)), state=State.READY) for i in ids}
         self.shown = {}
@@ -70,12 +70,12 @@
         back = self.state.put_back(server_id, self.now)
         self._deliver(back)
         if was_out and server_id in self.listed:
-            assert back[0].started_at == self.now, "its return is cold"
+            assert back[0].started_at == self.now, "a host that was put back is cold"
 
     @precondition(lambda self: self.out)
     @rule()
     def upgrade(self) -> None:
-        """Another process goes on with what this one has."""
+        """Another process restores this one's state."""
         successor = Maintenance()
         successor.restore(*self.state.ages(self.now), self.now)
         self.shown = {}
@@ -83,13 +83,13 @@
         self.state = successor
 
     @invariant()
-    def nothing_out_is_ready(self) -> None:
+    def no_host_out_is_ready(self) -> None:
         ready = {i for i, server in self.shown.items() if server.state is State.READY}
         assert not ready & self.out
         assert ready == {i for i, s in self.listed.items() if s.state is State.READY} - self.out
 
     @invariant()
-    def no_start_is_told_too_early(self) -> None:
+    def no_start_is_shown_too_early(self) -> None:
         for server_id, server in self.listed.items():
             assert self.shown[server_id].started_at >= server.started_at
 
@@ -97,8 +97,8 @@
 TestMaintenance = MaintenanceMachine.TestCase
 
 
-def test_the_restart_of_one_call_is_one_restart() -> None:
-    """Discovery tells late of the start between the calls; later it tells of another."""
+def test_one_call_counts_as_one_restart() -> None:
+    """Discovery lists late a start from between the two calls, and later another start."""
     state = Maintenance()
     state.apply(Update.FULL, (Server(1, started_at=5),))
     state.take_out(1, 10)
--- a/tests/operations/test_presence.py
+++ b/tests/operations/test_presence.py
@@ -1,4 +1,4 @@
-"""When clients are to go, and by when what still comes is to be answered."""
+"""The time left for requests that arrive while the gateway is stopping."""
 
 from __future__ import annotations
 
@@ -8,19 +8,15 @@
 
 
 @pytest.mark.parametrize("longest_deadline", [0.3, 3.0, 20.0])
-def test_what_comes_late_after_the_signal_is_answered_before_the_process_is_ended(
-    longest_deadline: float,
-) -> None:
+def test_late_requests_after_the_signal_have_time_until_the_kill(longest_deadline: float) -> None:
     presence = Presence()
     assert presence.time_left(100.0, longest_deadline) is None
     presence.leave(100.0)
-    assert presence.time_left(200.0, longest_deadline) is None, (
-        "a process that an operator empties is not ended"
-    )
+    assert presence.time_left(200.0, longest_deadline) is None, "a drained process is not killed"
     presence = Presence()
     presence.stop(100.0)
     killed_at = 100.0 + KILL_DELAY_SECONDS + min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS)
-    assert presence.time_left(100.0 + KILL_DELAY_SECONDS, longest_deadline) is None, "it has its own time"
+    assert presence.time_left(100.0 + KILL_DELAY_SECONDS, longest_deadline) is None, "its own deadline counts"
     for now in (100.01 + KILL_DELAY_SECONDS, killed_at - 0.1, killed_at, killed_at + 50):
         left = presence.time_left(now, longest_deadline)
         assert left is not None
--- a/tests/operations/test_reload_checks.py
+++ b/tests/operations/test_reload_checks.py
@@ -1,4 +1,4 @@
-"""Settings taken anew: which files are refused, and what requests under way keep."""
+"""Reloaded settings: which files are refused, and which settings requests in progress keep."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def _modified(path: tuple[Any, ...], *value: Any) -> dict[str, Any]:
-    """The configuration in force without a key, or with another value there."""
+    """Return the configuration in force without a key, or with another value for it."""
     fresh = copy.deepcopy(IN_FORCE)
     node: Any = fresh
     for key in path[:-1]:
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: ".".join(map(str, path)))
-def test_what_lacks_a_key_or_has_it_as_something_else_is_refused(path: tuple[Any, ...]) -> None:
+def test_a_missing_key_or_a_value_of_another_type_is_refused(path: tuple[Any, ...]) -> None:
     assert any(str(path[-1]) in finding for finding in findings(_modified(path), IN_FORCE))
     assert findings(_modified(path, None), IN_FORCE)
 
@@ -63,14 +63,14 @@
     assert findings(_modified(path, value), IN_FORCE)
 
 
-def test_all_is_found_at_once() -> None:
+def test_all_findings_are_returned_at_once() -> None:
     fresh = _modified(("settings", "classes", 0, "giveUp"), -1)
     del fresh["discovery"]
     fresh["settings"]["classes"][1]["name"] = "page-read"
     assert len(findings(fresh, IN_FORCE)) == 3
 
 
-def test_classes_may_come_and_go() -> None:
+def test_classes_may_be_added_and_removed() -> None:
     entry = SETTINGS["classes"][0]
     assert not findings(_modified(("settings", "classes"), [entry | {"name": "new", "more": 1}]), IN_FORCE)
     assert findings(_modified(("settings", "classes"), []), IN_FORCE)
@@ -83,22 +83,22 @@
     driver.settings = settings
 
 
-def test_a_request_under_way_keeps_its_class_where_that_vanishes() -> None:
+def test_a_request_keeps_its_class_when_that_is_removed() -> None:
     driver = Driver()
     read, buy = driver.submit(READ), driver.submit(BUY)
     _retune(driver, replace(BUY, name="other"))
     driver.now += 10 * MS
     driver.end_attempt(driver.running(read)[0], Outcome.ERROR)
-    assert driver.running(read), "it is safe to repeat still"
+    assert driver.running(read), "it may still be repeated"
     driver.end_attempt(driver.running(buy)[0], Outcome.ERROR)
-    assert driver.answers[buy] == ["failed"], "and this one is not"
+    assert driver.answers[buy] == ["failed"], "it may not be repeated"
     driver.end_attempt(driver.running(read)[0])
     assert driver.answers[read] == ["served"]
     driver.classes = (replace(BUY, name="other"),)
     driver.serve(driver.classes[0])
 
 
-def test_a_class_that_turns_unsafe_is_unsafe_for_those_who_come_after() -> None:
+def test_a_class_that_becomes_unsafe_is_unsafe_for_later_requests() -> None:
     driver = Driver()
     early = driver.submit(READ)
     strict = replace(READ, effect=Effect.AT_MOST_ONCE)
@@ -112,7 +112,7 @@
     assert driver.running(early)
 
 
-def test_fewer_attempts_bind_those_under_way_and_more_do_not() -> None:
+def test_a_lower_attempt_limit_applies_to_requests_in_progress_and_a_higher_one_does_not() -> None:
     driver = Driver(Settings(CLASSES, max_attempts=4, may_hedge=True), server_count=8)
     request = driver.submit(READ)
     for _ in range(2):
@@ -128,7 +128,7 @@
     assert len(driver.attempts(other)) == 1
 
 
-def test_what_was_learnt_of_hosts_stays_and_of_a_vanished_class_goes() -> None:
+def test_learned_state_of_hosts_is_kept_and_that_of_a_removed_class_is_dropped() -> None:
     driver = Driver()
     for _ in range(40):
         driver.serve(READ)
--- a/tests/operator/cases.py
+++ b/tests/operator/cases.py
@@ -1,4 +1,4 @@
-"""The corpus of configurations: reading its cases and laying them out."""
+"""Reads the corpus of configurations (`tests/corpus`) and writes its cases into folders."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True)
 class Case:
-    """One configuration folder, and what is wrong with it."""
+    """One configuration folder, and the findings that are expected on it."""
 
     title: str
     files: dict[str, bytes] = field(default_factory=dict)
-    links: dict[str, str] = field(default_factory=dict)
-    omitted: set[str] = field(default_factory=set)  # of the files that all begin with
+    links: dict[str, str] = field(default_factory=dict)  # targets of symbolic links
+    omitted: set[str] = field(default_factory=set)  # files of the base case that this one does not have
     expected: list[str] = field(default_factory=list)
 
     def write_to(self, folder: Path) -> None:
-        """Write it into an empty folder; ROOT in a file stands for that."""
+        """Write the case into an empty folder; ROOT in a file is replaced by the folder's path."""
         files = {**BASE.files, **self.files}
         if self is not BASE and not any(
             b'"base.toml"' in data or b"/base.toml" in data for data in self.files.values()
@@ -37,6 +37,7 @@
 
 
 def _parse(text: str, title: str) -> Case:
+    """Parse one case; `tests/corpus/README.md` describes the format."""
     case = Case(title)
     name, form, lines = "", "", list[str]()
 
@@ -70,7 +71,7 @@
 
 
 def load_cases() -> list[Case]:
-    """All broken ones."""
+    """Return all cases of broken configurations."""
     cases = []
     for path in sorted(CORPUS.glob("*.cases")):
         for section in path.read_text().split("=== ")[1:]:
--- a/tests/operator/test_cli.py
+++ b/tests/operator/test_cli.py
@@ -1,4 +1,4 @@
-"""The tool as it is called."""
+"""The command `copperlead sidecar`: exit codes and output of check, explain and diff; what it imports."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 
 
 def write_bad_file(folder: Path) -> Path:
+    """Write a file with two findings; return its path."""
     path = folder / "bad.toml"
     path.write_text('include = ["base.toml"]\n[limits]\nclients = 0\n[upstream]\nhegde = true\n')
     return path
@@ -82,6 +83,7 @@
 
 
 def test_check_does_not_import_the_gateway(folder: Path) -> None:
+    """Importing it would make the command slow to start."""
     code = (
         "import sys; from whinrouter.operator.cli import main; main(['sidecar', 'check', sys.argv[1]]); "
         "loaded = {'asyncio', 'httptools', 'whinrouter.balance', 'whinrouter.net'} & set(sys.modules); "
@@ -94,6 +96,6 @@
 
 
 def test_gateway_does_not_import_the_operator_file() -> None:
-    """Where it is off, its memory is not paid for."""
+    """A gateway that runs without an operator file does not spend memory on msgspec."""
     code = "import sys, whinrouter.__main__; sys.exit('msgspec' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
--- a/tests/operator/test_corpus.py
+++ b/tests/operator/test_corpus.py
@@ -1,4 +1,4 @@
-"""Each broken configuration is refused for its reason, at its place, and for nothing else."""
+"""Each broken configuration of the corpus gets exactly the expected findings at the expected places."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         f"{finding.location} {finding.key or '-'} {finding.code}".replace(f"{tmp_path}/", "")
         for finding in findings
     ]
-    # A key alone says where its file is not of interest: a default that does not fit.
+    # An expected line of a key alone stands for any finding on that key, as on a default that does not fit.
     exact_lines = [line for line in case.expected if len(line.split(" ")) > 1]
     keys = [line for line in case.expected if len(line.split(" ")) == 1]
     assert sorted(line for line in lines if line.split(" ")[1] not in keys) == sorted(exact_lines)
--- a/tests/operator/test_loading.py
+++ b/tests/operator/test_loading.py
@@ -1,4 +1,4 @@
-"""Reading: precedence, origins, digests, and what is read once."""
+"""Loading: precedence, origins, digests, and limits on what is read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def write_files(folder: Path, **files: str) -> Path:
-    """The good files, and some more; returns app.toml."""
+    """Write the base case and further files, by name without suffix; return the path of app.toml."""
     BASE.write_to(folder)
     for name, text in files.items():
         (folder / f"{name}.toml").write_text(text)
@@ -23,6 +23,7 @@
 
 
 def values_and_origins(path: Path) -> dict[str, tuple[str, str]]:
+    """Return the value and the origin of each key, with origins relative to the folder."""
     found = {entry.key: (entry.value, entry.origin) for entry in effective_values(load(path))}
     return {key: (value, origin.replace(f"{path.parent}/", "")) for key, (value, origin) in found.items()}
 
@@ -65,7 +66,7 @@
     loaded = load(app)
     assert check(loaded) == []
     assert [Path(name).name for name in loaded.files].count("b.toml") == 1
-    assert loaded.model.limits.clients == 6  # r.toml, the later, brings b.toml's
+    assert loaded.model.limits.clients == 6  # r.toml, the later include, has b.toml's value
 
 
 def test_digest_covers_every_file_that_is_read(tmp_path: Path) -> None:
@@ -105,7 +106,7 @@
     assert (change_by_key["limits.clients"].old, change_by_key["limits.clients"].new) == ("400", "10")
     assert change_by_key["limits.clients"].needs_restart
     assert not change_by_key["discovery.hosts"].needs_restart
-    assert change_by_key["discovery.zone"].needs_restart  # the module is told at its start
+    assert change_by_key["discovery.zone"].needs_restart  # the balancer gets its zone only at the start
     assert change_by_key["class.search.effect"].old is None
     assert set(change_by_key) >= {"limits.clients", "discovery.hosts", "class.search.name"}
     assert not any(key.startswith("class.page-read") for key in change_by_key)
@@ -127,7 +128,7 @@
         return not isinstance(value, dict)
 
     def conflict(a: object, b: object) -> bool:
-        """Whether one has a value where the other has a table: there the later replaces all."""
+        """Return whether one has a value where the other has a table, so that the later replaces it whole."""
         if isinstance(a, dict) and isinstance(b, dict):
             return any(conflict(a[key], b[key]) for key in a.keys() & b.keys())
         return is_leaf(a) != is_leaf(b)
--- a/tests/operator/test_mutations.py
+++ b/tests/operator/test_mutations.py
@@ -1,4 +1,7 @@
-"""Whatever is changed in a good configuration: it is refused, or the unsafe stays so; and nothing breaks."""
+"""Random changes to good configurations: each result has findings, or is as safe as the catalogue declares.
+
+No change makes loading or checking raise an exception.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
     "PORT": "9100",
 }
 
-# What the catalogue says of each path: whether a repeat may run it twice, and whether it may at all.
+# Effects in order of safety, and the rank that the catalogue declares for each path.
 RANKS = {Effect.AT_MOST_ONCE: 0, Effect.KEYED: 1, Effect.IDEMPOTENT: 2}
 DECLARED_RANKS = {"/page-read": 2, "/chapter-buy": 0, "/mark-read": 1}
 
@@ -49,6 +52,7 @@
 
 
 def write_files(folder: Path, files: dict[str, str]) -> None:
+    """Write the base case's catalogue and these files, with values in place of the placeholders."""
     (folder / "catalogue.toml").write_bytes(BASE.files["catalogue.toml"])
     for file, text in files.items():
         filled = text.replace("FOLDER", str(folder))
@@ -58,6 +62,7 @@
 
 
 def assert_safe(folder: Path, file: str) -> None:
+    """Assert that a file has findings, or routes no declared path to a class with a safer effect."""
     loaded = load(folder / file)
     if check(loaded):
         return
@@ -95,7 +100,7 @@
     for _ in range(data.draw(st.integers(1, 3))):
         source = data.draw(st.integers(0, len(lines) - 1))
         target = data.draw(st.integers(0, len(lines) - 1))
-        mutation = data.draw(st.sampled_from(["lose", "double", "move", "spoil"]))
+        mutation = data.draw(st.sampled_from(["delete", "duplicate", "move", "corrupt"]))
         line = lines[source]
         if mutation == "delete" and len(lines) > 1:
             del lines[source]
--- a/tests/operator/test_pages.py
+++ b/tests/operator/test_pages.py
@@ -1,4 +1,4 @@
-"""What the pages and the examples show is so."""
+"""The examples in `deploy/` and in the operators' pages are correct and complete."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 def test_documented_operator_file_has_all_keys_and_no_others(tmp_path: Path) -> None:
     text = (ROOT / "deploy" / "operator.toml").read_text()
-    # What is commented out as a key or a table is one.
+    # Keys and tables that are commented out are documented as well.
     text = re.sub(r"^# (?=(\[\[class\]\]|[a-z_]+ = ))", "", text, flags=re.MULTILINE)
     values = tomllib.loads(text)
     for section in msgspec.structs.fields(Model):
--- a/tests/operator/test_toml_lines.py
+++ b/tests/operator/test_toml_lines.py
@@ -1,4 +1,4 @@
-"""The line of each key is found wherever the decoder finds the key."""
+"""Lines of keys: `key_lines` finds the same keys as `tomllib`, and the right lines."""
 
 from __future__ import annotations
 
--- a/tests/operator/test_writing.py
+++ b/tests/operator/test_writing.py
@@ -1,4 +1,4 @@
-"""The tool writes whole files or none, keeps the team's own, and refuses what would be bad."""
+"""`copperlead sidecar write` writes whole files, keeps a team's own file, and writes nothing on findings."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 name = "mark-read"
 """
 
-# Wraps what changes the folder, and kills the process before or after the one of that number.
+# Wraps the calls that change the folder, and kills the process before or after the call with a given number.
 KILLED_PROGRAM = """
 import os, signal, sys
 from pathlib import Path
-at, calls = int(sys.argv[1]), 0
+kill_at, calls = int(sys.argv[1]), 0
 def wrap(call):
     def wrapped(*args, **kwargs):
         global calls
         for after in (False, True):
             if after:
                 result = call(*args, **kwargs)
-            if calls == at:
+            if calls == kill_at:
                 os.kill(os.getpid(), signal.SIGKILL)
             calls += 1
         return result
@@ -58,6 +58,7 @@
 
 @pytest.fixture
 def host(tmp_path: Path) -> Path:
+    """A folder of a machine's configurations, with the base case in it."""
     folder = tmp_path / "host"
     folder.mkdir()
     BASE.write_to(folder)
@@ -71,6 +72,7 @@
 
 
 def run_write(host: Path, text: str = DESCRIPTION, *options: str) -> int:
+    """Run the command on a description; return its exit code."""
     return main(["sidecar", "write", str(write_description(host, text)), "--host-dir", str(host), *options])
 
 
@@ -190,7 +192,7 @@
         assert code == -signal.SIGKILL
         for name, data in old.items():
             (host / name).write_bytes(data)
-    assert step >= 8  # steps of writing: open, fsync, rename, the folder's own
+    assert step >= 8  # before and after each of: open, fsync, rename, and fsync of the folder
     assert b"new team" in new["shop.base.toml"]
     assert not [path for path in host.iterdir() if path.name.endswith(".new")]
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small scripted peers on loopback sockets, and a gateway between them."""
+"""Scripted servers and clients on loopback sockets, and a gateway between them."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 READ = RequestClass("page-read", 400 * MS, 15_000 * MS, Effect.IDEMPOTENT, worth=3)
 BUY = RequestClass("chapter-buy", 400 * MS, 20_000 * MS, worth=8)
 SETTINGS = Settings((READ, BUY), max_attempts=5, may_hedge=True, may_cancel=True)
-TEST_TIMEOUT_SECONDS = 30.0  # seconds that a condition may take on a slow machine
+TEST_TIMEOUT_SECONDS = 30.0  # generous, for slow machines
 
-_REQUEST_IDS = itertools.count()  # an id may be open once at a time
+_REQUEST_IDS = itertools.count()  # the gateway rejects an id that is in use
 
 Script = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
 def async_test(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run an async test in a loop of its own, for a generous time at most."""
+    """Decorate an async test to run in an event loop of its own, with a timeout."""
 
     @functools.wraps(test)
     def run(*args: object, **kwargs: object) -> None:
@@ -47,26 +47,27 @@
 
 
 def skip_if_compiled(target: object) -> None:
-    """Skip a test that puts other functions into what is compiled: there the calls go past them."""
+    """Skip a test that replaces functions of a compiled module, whose internal calls bypass replacements."""
     module = target if isinstance(target, ModuleType) else sys.modules[type(target).__module__]
     if not str(module.__file__).endswith(".py"):
-        pytest.skip(f"{module.__name__} is compiled: its functions stay")
+        pytest.skip(f"{module.__name__} is compiled: its functions can't be replaced")
 
 
 def replace_method(target: object, method: str, other: Callable[..., Any]) -> None:
-    """Put another method into one object."""
+    """Replace a method of one object."""
     skip_if_compiled(target)
     setattr(target, method, other)
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
+    """Poll until the condition is true; TimeoutError after `TEST_TIMEOUT_SECONDS`."""
     async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 def answers_with(status: int = 200, body: bytes = b"page", **headers: str) -> Script:
-    """A host that answers so; an underscore in a header's name stands for a dash."""
+    """Return a script that sends this answer; an underscore in a header's name becomes a dash."""
     pairs = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -76,23 +77,25 @@
 
 
 async def never_answers(request: Message, writer: asyncio.StreamWriter) -> None:
-    """Takes a request and never answers."""
+    """Accept a request and never answer it."""
 
 
 async def resets_connection(request: Message, writer: asyncio.StreamWriter) -> None:
+    """Reset the connection instead of an answer."""
     reset_connection(writer)
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Close a connection with a TCP reset."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 class _LargeBody:
-    """Gathers a body that the reader gives out in parts."""
+    """Collects a streamed request body."""
 
     def __init__(self) -> None:
-        self._request: Message | None = None  # of which the rest is to come
+        self._request: Message | None = None  # the request whose body is incomplete
         self._pieces: list[bytes] = []
         self._is_whole = False
 
@@ -100,7 +103,7 @@
         return Flow(self, length, 0.0, 0.0, 0.0)
 
     def complete_requests(self, requests: list[Message]) -> list[Message]:
-        """The requests that are whole by now, of those that were given out."""
+        """Return the requests that are complete by now; `requests` were emitted by the latest read."""
         found = []
         for request in requests:
             if request.body_flow is None:
@@ -124,23 +127,22 @@
         return -1
 
     def pause_reading(self) -> None:
-        """It is read as it comes."""
+        """Ignore the call: the body is read as it arrives."""
 
     resume_reading = cancel_reading = abort_body = pause_reading
 
 
 @dataclass
 class ScriptedServer:
-    """A server that hands each whole request to its script."""
+    """A server that passes each complete request to its script."""
 
     script: Script
     name: str = "s-1"
     requests: list[Message] = field(default_factory=list)
-    request_writers: list[asyncio.StreamWriter] = field(
-        default_factory=list
-    )  # the connection of each request
+    # The connection of each request.
+    request_writers: list[asyncio.StreamWriter] = field(default_factory=list)
     connections: int = 0
-    received_bytes: int = 0  # bytes, be they a whole request or not
+    received_bytes: int = 0  # of complete and incomplete requests
     closed_connections: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
@@ -178,7 +180,7 @@
         return Member(Server(hashed_server_id(self.name), **fields), ("127.0.0.1", self.port))
 
     def discovery_entry(self, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
-        """This host in discovery's form."""
+        """Return this host's entry in a list of discovery."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.port}",
@@ -194,32 +196,34 @@
 
 @asynccontextmanager
 async def scripted_servers(*scripts: Script) -> AsyncIterator[list[ScriptedServer]]:
-    started = [ScriptedServer(script, f"s-{place}") for place, script in enumerate(scripts)]
-    for peer in started:
-        await peer.start()
+    """Start a server for each script, and stop them at the end."""
+    started = [ScriptedServer(script, f"s-{index}") for index, script in enumerate(scripts)]
+    for server in started:
+        await server.start()
     try:
         yield started
     finally:
-        for peer in started:
-            peer.stop()
+        for server in started:
+            server.stop()
 
 
 def request_text(
     class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
 ) -> bytes:
+    """Return a request of a class; an empty value in `headers` removes the header."""
     method = "GET" if class_name == "page-read" else "POST"
-    told = {
+    all_headers = {
         "Host": "api.internal",
         "X-Request-Id": f"9b1f{next(_REQUEST_IDS):04x}",
         "X-Class": class_name,
         "X-Deadline": "10.0",
     }
-    told |= headers or {}
+    all_headers |= headers or {}
     if method == "POST":
-        told["Content-Length"] = str(len(body))
+        all_headers["Content-Length"] = str(len(body))
     lines = [
         f"{method} /{class_name}?page=4 HTTP/1.1",
-        *(f"{name}: {told[name]}" for name in told if told[name]),
+        *(f"{name}: {all_headers[name]}" for name in all_headers if all_headers[name]),
     ]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
@@ -236,7 +240,7 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     async def read_answer(self) -> Message:
-        """The next answer; ConnectionError if the connection ends without one."""
+        """Return the next answer; ConnectionError if the connection ends without one."""
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             while data := await self._reader.read(65536):
                 answers = self._parser.feed(data)
@@ -253,7 +257,7 @@
         return await self.read_answer()
 
     async def read_to_end(self) -> bytes:
-        """All that still comes, once the gateway has closed."""
+        """Read until the gateway closes the connection; return all bytes that were read."""
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             return await self._reader.read()
 
@@ -262,18 +266,20 @@
 
 
 async def send_without_reading(client: Client, host: ScriptedServer) -> None:
-    """Ask until the gateway takes no more in."""
+    """Send requests and read no answers, until the gateway accepts no more requests."""
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for sent in range(1000):
         client.writer.write(request_text())
         await asyncio.sleep(0.005)
         if sent > len(host.requests) + 12:
             return
-    raise AssertionError("it takes everything in")
+    raise AssertionError("the gateway accepts all requests")
 
 
 @dataclass
 class RunningGateway:
+    """A gateway in this process, and its parts."""
+
     gateway: Gateway
     upstream: ConnectionPool
     frontend: Frontend
@@ -300,7 +306,7 @@
     selector: PrioritySelector | None = None,
     attempt_time: int = 0,
 ) -> AsyncIterator[RunningGateway]:
-    """A gateway in this loop, on a free port, with these hosts on its list."""
+    """Run a gateway in this event loop on a free port, with these hosts on its list."""
     upstream = ConnectionPool(1.0, idle_time, max_connections)
     balancer = Balancer(settings, seed=1)
     gateway = Gateway(balancer, upstream, attempt_time)
@@ -316,7 +322,7 @@
 
 
 def record_events(proxy: RunningGateway) -> list[Event]:
-    """What the module is told from now on."""
+    """Return a list to which all later events for the balancer are appended."""
     events: list[Event] = []
     handle = proxy.balancer.handle
 
@@ -329,4 +335,5 @@
 
 
 def make_host_list(*members: Member, complete: bool = True, revision: int = 2) -> HostList:
+    """Return a list of hosts as discovery sends it."""
     return HostList(revision, complete, members)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Programs that tests start, and their logs."""
+"""Processes that tests start, and their logs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 async def running_process(
     *command: str, environment: Mapping[str, str] | None = None, pass_fds: tuple[int, ...] = ()
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A program whose log is read by the test; killed at the end, if it still runs."""
+    """Start a program whose log the test reads; kill it at the end if it still runs."""
     process = await asyncio.create_subprocess_exec(
         *command, env=environment, stderr=asyncio.subprocess.PIPE, pass_fds=pass_fds
     )
@@ -26,10 +26,10 @@
 
 
 async def wait_for_log(process: asyncio.subprocess.Process, text: str) -> str:
-    """The next line of its log with these words."""
+    """Return the next line of its log that contains this text."""
     assert process.stderr is not None
     async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while line := (await process.stderr.readline()).decode():
             if text in line:
                 return line
-    raise AssertionError(f"it ended and did not say {text!r}")
+    raise AssertionError(f"the process ended and did not log {text!r}")
--- a/tests/standins/test_web.py
+++ b/tests/standins/test_web.py
@@ -1,4 +1,4 @@
-"""The stand-in hosts do what they are told, and count what ran."""
+"""The stand-in hosts obey the commands of their control port, and count the requests that ran."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @asynccontextmanager
 async def running_host() -> AsyncIterator[tuple[Host, int]]:
-    """One host, and the control port of its fleet."""
+    """Run one host; yield it and the control port of its fleet."""
     fleet = Fleet([0])
     (host,) = fleet.hosts.values()
     await host.start()
@@ -37,7 +37,7 @@
             client.close()
         assert (
             await control.send_command(port, f"count {host.port}") == "all 2, twice 0"
-        )  # what is refused did not run
+        )  # a refused request did not run
         await control.send_command(port, f"mode {host.port} reset")
         with pytest.raises(ConnectionError):
             await (await Client.connect(host.port)).fetch()
