--- a/tests/streaming/test_bodies.py
+++ b/tests/streaming/test_bodies.py
@@ -1,4 +1,4 @@
-"""Large bodies on real sockets: peers that stop, break, leave, or answer out of turn."""
+"""Large bodies on real sockets, with peers that stop, break off, leave, or answer early."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 
 SIZE = 32 * 1024 * 1024
 PIECE = bytes(range(256)) * 256
-Read = asyncio.StreamReader
-Write = asyncio.StreamWriter
+Reader = asyncio.StreamReader
+Writer = asyncio.StreamWriter
 
 
 @dataclass
 class Host:
-    """A host that hands each connection's head to a script, and counts whole requests."""
+    """A host that calls a script for each request head, and counts the uploads that were whole."""
 
-    script: Callable[[Host, Read, Write, int], Awaitable[None]]
-    ran: int = 0
+    script: Callable[[Host, Reader, Writer, int], Awaitable[None]]
+    uploads_run: int = 0
     heads: list[bytes] = field(default_factory=list)
     port: int = 0
 
-    async def serve(self, reader: Read, writer: Write) -> None:
+    async def serve(self, reader: Reader, writer: Writer) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while head := await reader.readuntil(b"\r\n\r\n"):
                 self.heads.append(head)
@@ -54,8 +54,8 @@
 
 @asynccontextmanager
 async def gateway_with_hosts(
-    *scripts: Callable[[Host, Read, Write, int], Awaitable[None]],
-) -> AsyncIterator[Scene]:
+    *scripts: Callable[[Host, Reader, Writer, int], Awaitable[None]],
+) -> AsyncIterator[Setup]:
     hosts = [Host(script) for script in scripts]
     servers = []
     for host in hosts:
@@ -64,14 +64,14 @@
         servers.append(server)
     try:
         async with running_gateway(*(host.member() for host in hosts)) as proxy:
-            yield Scene(proxy, hosts)
+            yield Setup(proxy, hosts)
     finally:
         for server in servers:
             server.close()
 
 
 @dataclass
-class Scene:
+class Setup:
     proxy: RunningGateway
     hosts: list[Host]
 
@@ -80,15 +80,15 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%b\r\n" % (length, more)
 
 
-async def sends_large_answer(host: Host, reader: Read, writer: Write, length: int) -> None:
-    """Answers with 32 MB."""
+async def sends_large_answer(host: Host, reader: Reader, writer: Writer, length: int) -> None:
+    """Answers with 32 MiB."""
     writer.write(head(SIZE))
     for _ in range(SIZE // len(PIECE)):
         writer.write(PIECE)
         await writer.drain()
 
 
-async def reads_upload(host: Host, reader: Read, writer: Write, length: int) -> None:
+async def reads_upload(host: Host, reader: Reader, writer: Writer, length: int) -> None:
     """Reads the whole request and answers with its digest."""
     digest = hashlib.sha256()
     while length:
@@ -97,16 +97,16 @@
             return
         digest.update(data)
         length -= len(data)
-    host.ran += 1
+    host.uploads_run += 1
     text = digest.hexdigest().encode()
     writer.write(head(len(text)) + text)
 
 
-async def open_client(scene: Scene) -> tuple[Read, Write]:
-    return await asyncio.open_connection("127.0.0.1", scene.proxy.port, limit=2**17)
+async def open_client(setup: Setup) -> tuple[Reader, Writer]:
+    return await asyncio.open_connection("127.0.0.1", setup.proxy.port, limit=2**17)
 
 
-async def read_body(reader: Read, left: int = SIZE) -> None:
+async def read_body(reader: Reader, left: int = SIZE) -> None:
     async with asyncio.timeout(2 * TEST_TIMEOUT_SECONDS):
         while left:
             data = await reader.readexactly(min(left, len(PIECE)))
@@ -115,80 +115,80 @@
 
 
 def upload_head(length: int = SIZE, *more: str) -> bytes:
-    """The head of a purchase with a body of this length."""
+    """The head of a request of class chapter-buy with a body of this length."""
     return request_text("chapter-buy", {"Content-Length": ""}).replace(
         b"Content-Length: 0", b"Content-Length: %d" % length
     )
 
 
-async def send(writer: Write, count: int) -> None:
+async def send(writer: Writer, count: int) -> None:
     for _ in range(count // len(PIECE)):
         writer.write(PIECE)
         await writer.drain()
 
 
-async def status(reader: Read) -> int:
+async def status(reader: Reader) -> int:
     async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         return int((await reader.readuntil(b"\r\n\r\n")).split(b" ", 2)[1])
 
 
 @async_test
 async def test_client_that_stops_reading_pauses_only_its_host() -> None:
-    """And when it goes on, it gets all, though the request's time is long over; the connection serves on."""
+    """When it reads on, it receives the whole answer, although the request's deadline has long passed."""
     written = [0]
 
-    async def count_written(host: Host, reader: Read, writer: Write, length: int) -> None:
+    async def count_written(host: Host, reader: Reader, writer: Writer, length: int) -> None:
         writer.write(head(SIZE))
         for _ in range(SIZE // len(PIECE)):
             writer.write(PIECE)
             await writer.drain()
             written[0] += len(PIECE)
 
-    async with gateway_with_hosts(count_written) as scene:
-        reader, writer = await open_client(scene)
+    async with gateway_with_hosts(count_written) as setup:
+        reader, writer = await open_client(setup)
         writer.write(request_text(headers={"X-Deadline": "0.3"}))
         assert await status(reader) == 200
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         last_written = -1
-        while last_written != written[0]:  # until the host is held
+        while last_written != written[0]:  # until the host is paused
             last_written = written[0]
             await asyncio.sleep(0.4)
         assert written[0] < SIZE
-        other, asker = await open_client(scene)
-        scene.hosts[0].script = reads_upload
-        asker.write(request_text())
+        other, other_writer = await open_client(setup)
+        setup.hosts[0].script = reads_upload
+        other_writer.write(request_text())
         assert await status(other) == 200
-        scene.proxy.frontend.presence.leave(0.0)
+        setup.proxy.frontend.presence.leave(0.0)
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         await read_body(reader)
-        await wait_until(lambda: not scene.proxy.frontend.streaming_connections)
+        await wait_until(lambda: not setup.proxy.frontend.streaming_connections)
 
 
-@pytest.mark.parametrize("how", ["short", "reset", "noise", "up to the end"])
+@pytest.mark.parametrize("ending", ["short", "reset", "surplus", "up to the end"])
 @async_test
-async def test_client_sees_how_the_host_ended_its_answer(how: str) -> None:
-    async def script(host: Host, reader: Read, writer: Write, length: int) -> None:
-        writer.write(head(SIZE) if how != "up to the end" else b"HTTP/1.1 200 OK\r\n\r\n")
-        for _ in range((SIZE // 2 if how in ("short", "reset") else SIZE) // len(PIECE)):
+async def test_client_sees_how_the_host_ended_its_answer(ending: str) -> None:
+    async def script(host: Host, reader: Reader, writer: Writer, length: int) -> None:
+        writer.write(head(SIZE) if ending != "up to the end" else b"HTTP/1.1 200 OK\r\n\r\n")
+        for _ in range((SIZE // 2 if ending in ("short", "reset") else SIZE) // len(PIECE)):
             writer.write(PIECE)
             await writer.drain()
-        if how == "surplus":
+        if ending == "surplus":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad")
-        elif how == "reset":
+        elif ending == "reset":
             reset_connection(writer)
-        if how != "surplus":
+        if ending != "surplus":
             writer.close()
             raise ConnectionError
 
-    async with gateway_with_hosts(script) as scene:
-        reader, writer = await open_client(scene)
+    async with gateway_with_hosts(script) as setup:
+        reader, writer = await open_client(setup)
         writer.write(request_text())
         answer = await reader.readuntil(b"\r\n\r\n")
-        if how in ("short", "reset"):
+        if ending in ("short", "reset"):
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await read_body(reader)
             return
-        if how == "up to the end":
+        if ending == "up to the end":
             assert b"transfer-encoding: chunked" in answer
             data = bytearray()
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
@@ -198,17 +198,17 @@
             assert len(data) == SIZE
         else:
             await read_body(reader)
-        scene.hosts[0].script = reads_upload
+        setup.hosts[0].script = reads_upload
         await reader.read(0)
-        again, asker = await open_client(scene)
-        asker.write(request_text())
+        again, other_writer = await open_client(setup)
+        other_writer.write(request_text())
         assert await status(again) == 200
-        assert scene.proxy.upstream.connections <= 2
+        assert setup.proxy.upstream.connections <= 2
 
 
 @async_test
 async def test_broken_answer_to_an_http_1_0_client_is_reset() -> None:
-    async def script(host: Host, reader: Read, writer: Write, length: int) -> None:
+    async def script(host: Host, reader: Reader, writer: Writer, length: int) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for _ in range(8):
             writer.write(b"%x\r\n%b\r\n" % (len(PIECE), PIECE))
@@ -216,34 +216,34 @@
         await asyncio.sleep(0.2)
         raise ConnectionError
 
-    async with gateway_with_hosts(script) as scene:
-        reader, writer = await open_client(scene)
+    async with gateway_with_hosts(script) as setup:
+        reader, writer = await open_client(setup)
         writer.write(request_text().replace(b"HTTP/1.1", b"HTTP/1.0", 1))
         assert await status(reader) == 200
-        with pytest.raises(ConnectionError):  # a reset: a clean end would say that this was all
+        with pytest.raises(ConnectionError):  # a reset, as a clean end would mean that the answer is whole
             await asyncio.wait_for(reader.read(), TEST_TIMEOUT_SECONDS)
 
 
 @async_test
 async def test_large_upload_runs_once_and_arrives_unchanged() -> None:
-    async with gateway_with_hosts(reads_upload, reads_upload) as scene:
-        reader, writer = await open_client(scene)
+    async with gateway_with_hosts(reads_upload, reads_upload) as setup:
+        reader, writer = await open_client(setup)
         writer.write(upload_head())
         await send(writer, SIZE)
         assert await status(reader) == 200
         sent = hashlib.sha256(PIECE * (SIZE // len(PIECE))).hexdigest().encode()
         assert await reader.readexactly(64) == sent
-        assert sum(host.ran for host in scene.hosts) == 1
-        writer.write(request_text())  # the connection serves on
+        assert sum(host.uploads_run for host in setup.hosts) == 1
+        writer.write(request_text())  # the connection can be used again
         assert await status(reader) == 200
 
 
 @pytest.mark.parametrize(
-    ("read", "answer", "expected", "ran"),
+    ("read", "answer", "expected", "uploads_run"),
     [
-        (0, None, {503}, 0),  # it breaks before the last byte: it never ran, and what is spent is refused
+        (0, None, {503}, 0),  # reset before the last byte: it never ran, and can't be retried
         (SIZE // 2, None, {503}, 0),
-        (SIZE, None, {502}, 1),  # behind the last byte it may have run
+        (SIZE, None, {502}, 1),  # reset after the last byte: it may have run
         (SIZE // 2, b"HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", {503}, 0),
         (SIZE // 2, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", {502}, 0),
         (SIZE // 2, head(2) + b"ok", {200}, 0),
@@ -251,13 +251,13 @@
 )
 @async_test
 async def test_host_that_ends_an_upload_early(
-    read: int, answer: bytes | None, expected: set[int], ran: int
+    read: int, answer: bytes | None, expected: set[int], uploads_run: int
 ) -> None:
-    async def script(host: Host, reader: Read, writer: Write, length: int) -> None:
+    async def script(host: Host, reader: Reader, writer: Writer, length: int) -> None:
         left = read
         while left:
             left -= len(await reader.read(min(left, 65536)))
-        host.ran += read == SIZE
+        host.uploads_run += read == SIZE
         if answer is not None:
             writer.write(answer)
             await writer.drain()
@@ -265,69 +265,69 @@
         reset_connection(writer)
         raise ConnectionError
 
-    async with gateway_with_hosts(script) as scene:
-        reader, writer = await open_client(scene)
+    async with gateway_with_hosts(script) as setup:
+        reader, writer = await open_client(setup)
         writer.write(upload_head())
         sending = asyncio.create_task(send(writer, SIZE))
         assert await status(reader) in expected
         with contextlib.suppress(ConnectionError):
             await sending
-        assert scene.hosts[0].ran == ran
-        assert len(scene.hosts[0].heads) == 1
-        await wait_until(lambda: not scene.proxy.frontend.active_request_ids)
+        assert setup.hosts[0].uploads_run == uploads_run
+        assert len(setup.hosts[0].heads) == 1
+        await wait_until(lambda: not setup.proxy.frontend.active_request_ids)
 
 
 @async_test
 async def test_upload_is_retried_while_it_is_wholly_buffered() -> None:
-    """The first host refuses the connection: not one byte of the body was given to it."""
-    async with gateway_with_hosts(reads_upload, reads_upload) as scene:
-        for host in scene.hosts[:1]:
+    """The first host refuses the connection, so not one byte of the body was sent to it."""
+    async with gateway_with_hosts(reads_upload, reads_upload) as setup:
+        for host in setup.hosts[:1]:
             unreachable = Member(Server(host.port), ("127.0.0.1", 1))
-        scene.proxy.upstream.update([unreachable, scene.hosts[1].member()], True)
+        setup.proxy.upstream.update([unreachable, setup.hosts[1].member()], True)
         for _ in range(6):
-            reader, writer = await open_client(scene)
+            reader, writer = await open_client(setup)
             writer.write(upload_head(1024 * 1024))
             await send(writer, 1024 * 1024)
             assert await status(reader) == 200
             writer.close()
-        assert scene.hosts[1].ran == 6
+        assert setup.hosts[1].uploads_run == 6
 
 
 @pytest.mark.parametrize("sent", [0, SIZE // 2, SIZE - len(PIECE)])
 @async_test
 async def test_upload_of_a_client_that_left_does_not_run(sent: int) -> None:
-    async with gateway_with_hosts(reads_upload) as scene:
-        _, writer = await open_client(scene)
+    async with gateway_with_hosts(reads_upload) as setup:
+        _, writer = await open_client(setup)
         writer.write(upload_head())
         await send(writer, sent)
-        await wait_until(lambda: scene.hosts[0].heads)
+        await wait_until(lambda: setup.hosts[0].heads)
         writer.transport.abort()
-        await wait_until(lambda: not scene.proxy.frontend.connections)
-        await wait_until(lambda: not scene.proxy.upstream.connections)
-        assert scene.hosts[0].ran == 0
+        await wait_until(lambda: not setup.proxy.frontend.connections)
+        await wait_until(lambda: not setup.proxy.upstream.connections)
+        assert setup.hosts[0].uploads_run == 0
 
 
 @async_test
 async def test_client_that_leaves_closes_the_connection_of_its_streamed_answer() -> None:
-    async with gateway_with_hosts(sends_large_answer) as scene:
-        reader, writer = await open_client(scene)
+    async with gateway_with_hosts(sends_large_answer) as setup:
+        reader, writer = await open_client(setup)
         writer.write(request_text())
         assert await status(reader) == 200
         writer.transport.abort()
-        await wait_until(lambda: not scene.proxy.upstream.connections)
-        await wait_until(lambda: not scene.proxy.gateway.unanswered_count)
+        await wait_until(lambda: not setup.proxy.upstream.connections)
+        await wait_until(lambda: not setup.proxy.gateway.unanswered_count)
 
 
 @async_test
 async def test_100_continue_is_sent_only_once_a_host_was_found() -> None:
-    async with gateway_with_hosts(reads_upload) as scene:
-        reader, writer = await open_client(scene)
+    async with gateway_with_hosts(reads_upload) as setup:
+        reader, writer = await open_client(setup)
         writer.write(upload_head(1024 * 1024).replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n"))
         assert await status(reader) == 100
         await send(writer, 1024 * 1024)
         assert await status(reader) == 200
-        bad, asker = await open_client(scene)
-        asker.write(
+        bad, other_writer = await open_client(setup)
+        other_writer.write(
             upload_head(1024 * 1024)
             .replace(b"chapter-buy", b"nothing")
             .replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n")
@@ -337,10 +337,10 @@
 
 @async_test
 async def test_stalled_upload_times_out_and_a_slow_one_does_not() -> None:
-    """The floor is a rate: 64 kB a second is served for as long as it takes."""
-    async with gateway_with_hosts(reads_upload) as scene:
-        slow, writer = await open_client(scene)
-        stalled, quiet = await open_client(scene)
+    """The limit is a least rate: 64 kB/s is accepted for as long as the upload takes."""
+    async with gateway_with_hosts(reads_upload) as setup:
+        slow, writer = await open_client(setup)
+        stalled, quiet = await open_client(setup)
         writer.write(upload_head(256 * 1024))
         quiet.write(upload_head(256 * 1024) + PIECE)
 
@@ -354,42 +354,42 @@
         assert await status(stalled) == 408
         await sending
         assert await status(slow) == 200
-        assert scene.hosts[0].ran == 1
+        assert setup.hosts[0].uploads_run == 1
 
 
 @async_test
 async def test_memory_of_many_unread_answers_is_bounded() -> None:
-    """What is held of 64 answers whose clients read nothing."""
-    async with gateway_with_hosts(sends_large_answer) as scene:
-        clients = [await open_client(scene) for _ in range(64)]
+    """The buffers of 64 answers whose clients read nothing."""
+    async with gateway_with_hosts(sends_large_answer) as setup:
+        clients = [await open_client(setup) for _ in range(64)]
         for reader, writer in clients:
             reader._transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(request_text())
-        await wait_until(lambda: len(scene.proxy.frontend.streaming_connections) >= 8)
+        await wait_until(lambda: len(setup.proxy.frontend.streaming_connections) >= 8)
         await asyncio.sleep(1.0)
-        for client in scene.proxy.frontend.streaming_connections:
+        for client in setup.proxy.frontend.streaming_connections:
             assert client.unsent_bytes <= 256 * 1024
             assert client._answer_flow is not None
             assert client._answer_flow._buffered_bytes <= flow.MAX_BUFFERED_BYTES + 64 * 1024
         for _, writer in clients:
             writer.transport.abort()
-        await wait_until(lambda: not scene.proxy.frontend.connections)
+        await wait_until(lambda: not setup.proxy.frontend.connections)
 
 
 @pytest.mark.parametrize(
     ("more", "body"),
     [
-        (b"\r\nExpect: 100-continue\r\n\r\n", b""),  # the leave to go on must not come behind the answer
+        (b"\r\nExpect: 100-continue\r\n\r\n", b""),  # no 100 Continue may follow the answer
         (b"\r\n\r\n", PIECE),
         (b"\r\nTransfer-Encoding: chunked\r\n\r\n", b"20000\r\n" + PIECE + PIECE + b"\r\nnoise\r\n"),
     ],
-    ids=["asks for leave", "sends on", "sends noise"],
+    ids=["expects 100-continue", "keeps sending", "malformed chunks"],
 )
 @async_test
 async def test_upload_refused_at_once_gets_exactly_one_answer(more: bytes, body: bytes) -> None:
-    """There is no host; what the client still sends, be it good or not, causes nothing."""
-    async with gateway_with_hosts() as scene:
-        reader, writer = await open_client(scene)
+    """There is no host. What the client still sends, valid or not, has no effect."""
+    async with gateway_with_hosts() as setup:
+        reader, writer = await open_client(setup)
         text = upload_head(1024 * 1024).replace(b"\r\n\r\n", more)
         if b"chunked" in more:
             text = text.replace(b"Content-Length: %d\r\n" % (1024 * 1024), b"")
--- a/tests/streaming/test_message_forms.py
+++ b/tests/streaming/test_message_forms.py
@@ -1,4 +1,4 @@
-"""All forms of HTTP/1.1: in any pieces they say what they say as a whole."""
+"""All forms of HTTP/1.1 messages: however they are split, they are parsed as in one piece."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from whinrouter.net.http import Message, RequestReader, ResponseReader
 from whinrouter.streaming.flow import Flow
 
-BIG = bytes(range(256)) * 300  # over what is held whole
+LARGE_BODY = bytes(range(256)) * 300  # larger than the bodies that are buffered whole
 
 
 class _Body:
-    """Keeps what flows."""
+    """Source and sink of a flow; keeps the body."""
 
     def __init__(self) -> None:
         self.body, self.whole = bytearray(), False
@@ -25,7 +25,7 @@
         self.whole = True
 
     def abort_body(self) -> None:
-        raise AssertionError("it is whole")
+        raise AssertionError("the body is whole")
 
     def bytes_delivered(self) -> int:
         return -1
@@ -41,7 +41,10 @@
 
 
 def _parse(is_request: bool, pieces: list[bytes], at_end: bool) -> tuple[list[Parsed], bool]:
-    """Each message with its whole body, and whether what followed was broken."""
+    """Each message with its whole body, and whether the rest was malformed.
+
+    `at_end`: the connection ends behind the pieces.
+    """
     bodies: list[_Body] = []
 
     def flow(length: int | None) -> Flow:
@@ -80,7 +83,7 @@
     "absolute target": (b"GET http://api.internal:80/a?b=1 HTTP/1.1\r\nHost: a\r\n\r\n", [b""]),
     "HTTP/1.0": (b"GET /a HTTP/1.0\r\n\r\n", [b""]),
     "length": (b"POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\n12345", [b"12345"]),
-    "large": (b"POST /a HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(BIG) + BIG, [BIG]),
+    "large": (b"POST /a HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY, [LARGE_BODY]),
     "chunks of a byte, with extensions and trailers": (
         b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
         + _chunks(b"abcdefgh" * 20, 1, b";name=value")
@@ -88,30 +91,30 @@
         [b"abcdefgh" * 20],
     ),
     "large chunks": (
-        b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + _chunks(BIG, 7000) + b"0\r\n\r\n",
-        [BIG],
+        b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + _chunks(LARGE_BODY, 7000) + b"0\r\n\r\n",
+        [LARGE_BODY],
     ),
-    "sent ahead": (
-        b"POST /a HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(BIG)
-        + BIG
+    "pipelined": (
+        b"POST /a HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(LARGE_BODY)
+        + LARGE_BODY
         + b"POST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nokGET /c HTTP/1.1\r\n\r\n",
-        [BIG, b"ok", b""],
+        [LARGE_BODY, b"ok", b""],
     ),
     "expects 100-continue": (
         b"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nok",
         [b"ok"],
     ),
-    "a list of connection's options": (
+    "connection options": (
         b"GET /a HTTP/1.1\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n\r\n",
         [b""],
     ),
 }
 ANSWERS = {
     "length": (HEAD + b"Content-Length: 5\r\n\r\n12345", [b"12345"]),
-    "up to the end": (HEAD + b"\r\n" + b"12345", [b"12345"]),
-    "large up to the end": (HEAD + b"\r\n" + BIG, [BIG]),
+    "up to the connection's end": (HEAD + b"\r\n" + b"12345", [b"12345"]),
+    "large, up to the connection's end": (HEAD + b"\r\n" + LARGE_BODY, [LARGE_BODY]),
     "HTTP/1.0": (b"HTTP/1.0 200 OK\r\n\r\n12345", [b"12345"]),
-    "interim ones ahead": (
+    "interim answers": (
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"
         + HEAD
         + b"Content-Length: 2\r\n\r\nok",
@@ -122,11 +125,11 @@
         [b"x" * 999],
     ),
     "large chunks with trailers": (
-        HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + _chunks(BIG, 50_000) + b"0\r\nX-A: b\r\n\r\n",
-        [BIG],
+        HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + _chunks(LARGE_BODY, 50_000) + b"0\r\nX-A: b\r\n\r\n",
+        [LARGE_BODY],
     ),
-    "no body by its status": (b"HTTP/1.1 204 No Content\r\n\r\n", [b""]),
-    "large": (HEAD + b"Content-Length: %d\r\n\r\n" % len(BIG) + BIG, [BIG]),
+    "status without a body": (b"HTTP/1.1 204 No Content\r\n\r\n", [b""]),
+    "large": (HEAD + b"Content-Length: %d\r\n\r\n" % len(LARGE_BODY) + LARGE_BODY, [LARGE_BODY]),
 }
 FORMS = [(True, name) for name in REQUESTS] + [(False, name) for name in ANSWERS]
 
@@ -135,10 +138,10 @@
     return (REQUESTS if is_request else ANSWERS)[name]
 
 
-@pytest.mark.parametrize(("request_", "name"), FORMS)
-def test_each_form_is_parsed(request_: bool, name: str) -> None:
-    text, bodies = _form(request_, name)
-    parsed, is_broken = _parse(request_, [text], at_end=True)
+@pytest.mark.parametrize(("is_request", "name"), FORMS)
+def test_each_form_is_parsed(is_request: bool, name: str) -> None:
+    text, bodies = _form(is_request, name)
+    parsed, is_broken = _parse(is_request, [text], at_end=True)
     assert not is_broken
     assert [body for _, _, _, body, _, _ in parsed] == bodies
     assert all(whole for *_, whole in parsed)
@@ -146,15 +149,15 @@
         assert parsed[0][1] == b"/a?b=1"
 
 
-@pytest.mark.parametrize(("request_", "name"), FORMS)
-def test_split_near_a_head_or_an_end_changes_nothing(request_: bool, name: str) -> None:
-    text, _ = _form(request_, name)
-    whole = _parse(request_, [text], at_end=True)
+@pytest.mark.parametrize(("is_request", "name"), FORMS)
+def test_split_near_a_head_or_an_end_changes_nothing(is_request: bool, name: str) -> None:
+    text, _ = _form(is_request, name)
+    expected = _parse(is_request, [text], at_end=True)
     places = [*range(1, min(400, len(text))), *range(max(1, len(text) - 200), len(text))]
     for place in places:
-        assert _parse(request_, [text[:place], text[place:]], at_end=True) == whole
+        assert _parse(is_request, [text[:place], text[place:]], at_end=True) == expected
     if len(text) < 2000:
-        assert _parse(request_, [bytes([byte]) for byte in text], at_end=True) == whole
+        assert _parse(is_request, [bytes([byte]) for byte in text], at_end=True) == expected
 
 
 @settings(max_examples=60)
@@ -178,9 +181,9 @@
     ids=[
         "two lengths",
         "too long",
-        "another coding",
-        "an extension without an end",
-        "trailers without an end",
+        "another transfer coding",
+        "an endless extension",
+        "endless trailers",
     ],
 )
 def test_invalid_message_is_rejected(text: bytes) -> None:
--- a/tests/streaming/test_refused_uploads.py
+++ b/tests/streaming/test_refused_uploads.py
@@ -1,4 +1,4 @@
-"""Requests that have their answer before their bodies have come: who still sends is not reset for that."""
+"""Requests that are answered before their bodies have arrived: a client that still sends is not reset."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from whinrouter.streaming.flow import GRACE_SECONDS, MIN_BODY_RATE, RateFloor
 
 PIECE = bytes(8 * 1024)
-PAST_OLD_LIMIT_SECONDS = 4.0  # seconds; connections once ended 3 s after such an answer, whatever still came
+PAST_OLD_LIMIT_SECONDS = 4.0  # connections were once closed 3 s after such an answer, whatever still arrived
 
 
 def upload_head(length: int, class_name: str = "chapter-buy") -> bytes:
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(("class_name", "expected"), [("chapter-buy", 503), ("never-announced", 400)])
 @async_test
 async def test_slow_upload_refused_early_receives_its_answer(class_name: str, expected: int) -> None:
-    """There are no hosts. The body comes at twice the least rate, for longer than was waited once."""
+    """There are no hosts. The body arrives at twice the least rate, for longer than the old limit."""
     pause = len(PIECE) / (2 * MIN_BODY_RATE)
     pieces = round(PAST_OLD_LIMIT_SECONDS / pause)
     async with running_gateway() as proxy:
@@ -63,13 +63,13 @@
         client.writer.write(upload_head(pieces * len(PIECE), class_name))
         await client.send_slowly(pieces, pause)
         assert await client.status() == expected
-        assert await client.reader.read() == b""  # and then a clean end, with nothing behind
+        assert await client.reader.read() == b""  # a clean end, with nothing after the answer
         await wait_until(lambda: not proxy.frontend.connections)
 
 
 @async_test
 async def test_client_that_keeps_sending_after_a_rejection_receives_it() -> None:
-    """What it sends is no HTTP: nothing of it can be told apart, but it comes at twice the least rate."""
+    """The client sends no HTTP, so the gateway can't find a body's end, but at twice the least rate."""
     async with running_gateway() as proxy:
         client = await Uploader.connect(proxy)
         client.writer.write(b"no request at all\r\n\r\n")
@@ -124,7 +124,7 @@
 
 
 def test_peer_below_the_rate_floor_becomes_overdue() -> None:
-    """Half of the least rate, looked at between two pieces."""
+    """Half of the least rate, checked between two pieces."""
     floor, now = RateFloor(0.0), 0.0
     while now + 0.09 <= floor.due:
         now += 0.1
--- a/tests/streaming/test_remainder.py
+++ b/tests/streaming/test_remainder.py
@@ -1,4 +1,4 @@
-"""The rest of a body, wherever it is cut."""
+"""The remainder of a body, wherever the body is split between two processes."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
     st.lists(st.integers(1, 70_000), max_size=6),
     st.lists(st.integers(1, 90_000), min_size=1, max_size=8),
 )
-@example(Framing.LENGTH, [], [75_842])  # the last read of the second is empty
+@example(Framing.LENGTH, [], [75_842])  # the last read of the second reader is empty
 def test_two_readers_together_decode_the_whole_body(
     framing: Framing, chunks: list[int], cuts: list[int]
 ) -> None:
-    """The first reads pieces until it can tell what is left; the second reads all else."""
+    """The first reader reads until it knows the remainder; the second one reads the remainder."""
     text, sink = _encoded(framing, chunks), _Sink()
     reader = ResponseReader(lambda length: Flow(_Source(), length, 0.0, 10.0, 0.0))
     place, remainder = 0, None
@@ -88,8 +88,8 @@
     [
         (b"\r\n10\r\n", 4, 12),
         (b"x\r\n10;name=1\r\n", 4, 12),
-        (b"10\r\n", 4, None),  # the size's first digits may stand in what is not here
-        (b"\r\n4\r\n", 4, None),  # it is whole
+        (b"10\r\n", 4, None),  # the first digits of the size may be missing
+        (b"\r\n4\r\n", 4, None),  # the chunk is whole
         (b"\r\nzz\r\n", 4, None),
         (b"\r\n10\r\n", 0, None),
         (b"", 4, None),
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter on real wire text."""
+"""The simulator's adapter, run as a process on the text of its messages."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "invariants": {"coldFrom": 0.2, "rampTime": 10000000, "fall": 1500000, "fallMultiple": 2.5},
     "registryMode": "automatic",
     "locality": "here",
-    "unheard": {"of": True},
+    "unknown": {"key": True},
 }
 DISCOVERY_ENTRIES = [{"host": 7, "stageState": "IN", "group": 0, "regionPart": "here"}]
 
@@ -161,7 +161,7 @@
 
 
 def test_a_list_of_an_unknown_kind_is_read_as_changes() -> None:
-    """Dropping it would miss a drain; taking it for the whole list would drop servers it does not name."""
+    """If it were dropped, a drain would be missed; read as a full list, it would remove the other servers."""
     change = {
         "verb": "discovery",
         "gateway": 3,
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -1,4 +1,4 @@
-"""Every transition of the breaker."""
+"""All transitions of the breaker."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def remaining_cooldown(breaker: Breaker, now: int) -> int:
-    """How long an open breaker admits nothing from now on."""
+    """Return the time until an open breaker admits an attempt."""
     low, high = 0, 2 * MAX_COOLDOWN
     while low < high:
         middle = (low + high) // 2
@@ -41,7 +41,7 @@
 
 
 def start_trial(breaker: Breaker, now: int) -> int:
-    """Start the trial of an open breaker; return when."""
+    """Wait for the end of the cooldown and start the trial; return the moment."""
     now += remaining_cooldown(breaker, now)
     assert breaker.start_attempt()
     return now
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""What the decisions must not take from one deployment: its figures differ from those of the next."""
+"""The decisions adapt to figures that differ from one deployment to the next."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def test_balancers_that_start_together_divide_the_initial_limit_of_a_server(
     balancers: int, total: int
 ) -> None:
-    """Each sent 8 at once, whatever their number, and small hosts were overdriven at the start of a day."""
+    """With 8 for each, at any number of balancers, small hosts were overloaded at the start of a day."""
     driver = Driver(Settings((LONG_AIM,), balancers=balancers), 1, classes=(LONG_AIM,))
     for _ in range(20):
         driver.submit(LONG_AIM)
@@ -30,7 +30,7 @@
 
 
 def answer(driver: Driver, request_class: RequestClass, latency: int) -> None:
-    """Ask, and let it be answered after so long, with whatever falls due meanwhile."""
+    """Submit a request and answer it after `latency`; timers fire meanwhile."""
     request = driver.submit(request_class, timeout=request_class.deadline)
     pass_time(driver, driver.now + latency)
     for sent in driver.running(request):
@@ -38,7 +38,7 @@
 
 
 def test_widely_scattered_latencies_open_no_breaker() -> None:
-    """One in six exponential times is over 2.5 medians: breakers opened and copies went out for nothing."""
+    """One in six of exponential latencies is over 2.5 medians: breakers opened, and hedges were useless."""
     settings = Settings((SCATTERED,), may_hedge=True, may_cancel=True)
     driver, random = Driver(settings, 3, classes=(SCATTERED,)), Random(5)
     open_count = 0
@@ -50,7 +50,7 @@
 
 
 def test_a_silent_host_is_detected_soon_where_latencies_scatter_little() -> None:
-    """The mark comes down to where hosts that answer stay under it, so that silence shows soon."""
+    """The late multiple falls until healthy hosts stay just below it, so that silence shows soon."""
     settings = Settings((SCATTERED,), may_hedge=True, may_cancel=True)
     driver, random = Driver(settings, 3, classes=(SCATTERED,)), Random(5)
     for _ in range(1500):
@@ -64,7 +64,7 @@
 
 
 def limit_after(request_class: RequestClass, latency: int) -> float:
-    """The limit of a host known for 50 ms, after ten answers to a class that took so long."""
+    """Return the change of a limit by ten answers of this latency, after ones of 50 and 100 ms."""
     driver = Driver(Settings((SHORT_AIM, LONG_AIM), may_cancel=True), 1, classes=(SHORT_AIM, LONG_AIM))
     for _ in range(20):
         answer(driver, SHORT_AIM, 50 * MS)
@@ -76,14 +76,14 @@
 
 
 def test_slow_answers_of_a_class_with_a_long_aim_cut_limits() -> None:
-    """Within 2 s of its aim of 4 s it widened limits, while what wanted its answer in 200 ms came late."""
+    """Any answer within 2 s, half of its aim, raised the limits, and answers of the short aim came late."""
     assert limit_after(LONG_AIM, 600 * MS) < 0
     assert limit_after(LONG_AIM, 100 * MS) >= 0
     assert limit_after(SHORT_AIM, 160 * MS) < 0
 
 
 def test_a_class_with_a_short_aim_leaves_other_classes_their_latency_scatter() -> None:
-    """Held to 1.2 usual times, every third answer that was merely its own scatter cut a limit."""
+    """Held to 1.2 medians, one answer in three cut a limit by its normal scatter alone."""
     tight_aim = RequestClass("open", 120 * MS, 2000 * MS, Effect.IDEMPOTENT)
     driver = Driver(Settings((tight_aim, LONG_AIM), may_cancel=True), 1, classes=(tight_aim, LONG_AIM))
     for _ in range(20):
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize(("balancers", "min_limit"), [(1, 5.0), (2, 2.5), (30, 1.0)])
 def test_late_answers_leave_each_balancer_its_minimum_limit(balancers: int, min_limit: float) -> None:
-    """Two gateways cut some hosts to one in flight from each, and refused a fifth of what was asked."""
+    """Two gateways cut some hosts to one request from each, and refused a fifth of the requests."""
     driver = Driver(Settings((LONG_AIM,), balancers=balancers), 1, classes=(LONG_AIM,))
     for _ in range(60):
         answer(driver, LONG_AIM, 3000 * MS)
@@ -106,7 +106,7 @@
 
 
 def test_pooled_limits_bound_the_sum_of_requests_in_flight() -> None:
-    """One from each of twenty is twenty at a host of three cores, and kept it overdriven."""
+    """One request from each of twenty balancers is twenty at a host of three cores, and overloaded it."""
     driver = Driver(Settings((LONG_AIM,), balancers=20), 12, classes=(LONG_AIM,))
     for host in driver.balancer._hosts.values():
         host.limit = host.min_limit
@@ -114,13 +114,13 @@
     requests = [driver.submit(LONG_AIM) for _ in range(12)]
     assert len(driver.running()) == 3
     driver.end_attempt(driver.running()[0])
-    assert driver.running(driver.submit(LONG_AIM))  # there is room for one again
+    assert driver.running(driver.submit(LONG_AIM))  # one more is admitted now
     assert sum(driver.answers[request] == ["refused"] for request in requests) == 9
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_the_running_sums_stay_exact_as_limits_and_servers_change(seed: int) -> None:
-    """With a thousand servers, counting them at each choice took some ten times as long as all else."""
+    """With a thousand servers, summing them at each choice took about ten times as long as all else."""
     driver, random = Driver(Settings((LONG_AIM,), balancers=20), 6, classes=(LONG_AIM,)), Random(seed)
     balancer, changed = driver.balancer, 0
     for _ in range(400):
@@ -130,7 +130,7 @@
         for sent in random.sample(driver.running(), len(driver.running()) // 2):
             driver.end_attempt(sent, random.choice((Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.RESET)))
         if random.random() < 0.05:
-            started = random.choice((0, driver.now))  # some restart, and what is out at them is out no more
+            started = random.choice((0, driver.now))  # some restart, and what was in flight there is lost
             driver.list_servers(Server(each, started_at=started) for each in random.sample(range(1, 9), 5))
         hosts = balancer._hosts.values()
         changed += any(host.limit not in (0.25, 1.0) for host in hosts)
@@ -140,7 +140,7 @@
 
 
 def test_shedding_spares_the_worst_served_class_where_the_goal_weighs_it() -> None:
-    """The class of least worth was turned away whole, though the worst-served one was a fifth of the goal."""
+    """The class of least worth was refused entirely, though the worst-served one was a fifth of the goal."""
     unweighted = overloaded()
     weighted = overloaded(worst_class_weight=1.0)
     assert refused(unweighted, LOW_WORTH, 50) > 1.3 * refused(unweighted, HIGH_WORTH, 50)
@@ -152,7 +152,7 @@
     [(Outcome.RESET, False), (Outcome.CANCELLED, False), (Outcome.REJECTED, True), (Outcome.ERROR, True)],
 )
 def test_only_outcomes_caused_by_load_cut_the_limit(outcome: Outcome, cuts: bool) -> None:
-    """Where one connection in ten broke, every limit stood at its least, and half was refused."""
+    """Where one connection in ten broke, all limits fell to the minimum, and half of the load was refused."""
     driver = Driver(Settings((LONG_AIM,), balancers=3), 1, classes=(LONG_AIM,))
     for _ in range(4):
         request = driver.submit(LONG_AIM, timeout=LONG_AIM.deadline)
@@ -170,14 +170,14 @@
     small, large = (driver.balancer._hosts[server] for server in (1, 2))
     assert (small.limit, large.limit) == (5.0, 15.0)
     assert (small.min_limit, large.min_limit) == (2.5, 7.5)
-    large.limit = 4.0  # learnt; the list comes again, with one more
+    large.limit = 4.0  # as learned; it must stay when the list comes again with another server
     driver.list_servers((Server(1, weight=1.0), Server(2, weight=3.0), Server(3, weight=2.0)))
     assert large.limit == 4.0
     assert driver.balancer._hosts[3].limit == 10.0
 
 
 def sends_per_server(settings: Settings) -> dict[int, int]:
-    """How many of 300 requests each of two servers got, the second being said to be three times the first."""
+    """Return how many of 300 requests each of two servers got; the second has three times the weight."""
     driver = Driver(settings, 0, classes=(SCATTERED,))
     driver.list_servers((Server(1, weight=1.0), Server(2, weight=3.0)))
     for _ in range(100):
@@ -190,7 +190,7 @@
 
 
 def test_servers_are_compared_by_weight_only_where_weights_are_capacities() -> None:
-    """Hosts of 2 and of 3 cores were thought as busy with as many requests."""
+    """Hosts of two and of three cores were taken for equally loaded by the same number of requests."""
     by_capacity = sends_per_server(Settings((SCATTERED,)))
     assert by_capacity[2] > 1.6 * by_capacity[1]
     by_load = sends_per_server(Settings((SCATTERED,), weight_is_capacity=False))
@@ -213,7 +213,7 @@
 
 
 def test_an_unannounced_class_does_not_tighten_the_target_latency_of_the_others() -> None:
-    """Names are at a peer's will; one with hardly any time held all classes to twice their usual times."""
+    """Peers choose the names: a class with a tiny timeout held all others to twice their median latencies."""
     driver = Driver(Settings((LONG_AIM,)), 1, classes=(LONG_AIM,))
     unknown = RequestClass("made up", 40 * MS, 40 * MS)
     targets = []
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients may fill the descriptors: what the gateway needs for itself is held back for it."""
+"""Idle clients can't use up the descriptors: those that the gateway itself needs are reserved."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from whinrouter.program import RESERVED_DESCRIPTORS
 
 DESCRIPTORS = 128
-FOR_HOSTS = (DESCRIPTORS - RESERVED_DESCRIPTORS) // 2  # held back for connections to hosts
-CROWD = 3 * DESCRIPTORS
+RESERVED_FOR_HOSTS = (DESCRIPTORS - RESERVED_DESCRIPTORS) // 2  # for connections to hosts
+TARGET_CONNECTIONS = 3 * DESCRIPTORS
 
 
 @pytest.mark.parametrize("sends", [b"", b"GET /page-read HTTP/1.1\r\nX-Request"])
 @async_test
-async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(
+async def test_idle_clients_can_t_use_up_the_descriptors_while_discovery_is_down(
     tmp_path: Path, sends: bytes
 ) -> None:
-    """Once it is back, the watch opens, hosts are reached, clients served and operators answered."""
-    down = True
+    """Once discovery is back, the watch opens, hosts are reached, clients served and operators answered."""
+    is_down = True
 
     async def discovery(request: Message, writer: asyncio.StreamWriter) -> None:
-        if down:
+        if is_down:
             reset_connection(writer)
         else:
             writer.write(HEAD + chunk(line(42, host.discovery_entry())))
@@ -50,10 +50,10 @@
         async with running_with_control(tmp_path, config) as (process, port, control):
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
             stop = asyncio.Event()
-            crowd = asyncio.create_task(_crowd(port, sends, process.pid, stop))
+            connecting = asyncio.create_task(_keep_connecting(port, sends, process.pid, stop))
             await wait_until(lambda: len(service.requests) > 3)
             assert (await control_call(control, "HEALTH")).startswith(("+OK", "-ERR"))
-            down = False
+            is_down = False
             await wait_until(lambda: _watched(service))
             while await up_status(port) != 200:
                 await asyncio.sleep(0.01)
@@ -61,25 +61,25 @@
             assert (await client.fetch()).status == 200
             assert (await control_call(control, "HEALTH")).startswith("+OK")
             stop.set()
-            assert await crowd <= DESCRIPTORS - FOR_HOSTS
+            assert await connecting <= DESCRIPTORS - RESERVED_FOR_HOSTS
 
 
 def _watched(service: ScriptedServer) -> bool:
     return any(not writer.is_closing() for writer in service.writers)
 
 
-async def _crowd(port: int, sends: bytes, process: int, stop: asyncio.Event) -> int:
-    """Keep as many connections open as the gateway lets; return the most descriptors that it held."""
-    held: list[Client] = []
-    most = 0
+async def _keep_connecting(port: int, sends: bytes, process: int, stop: asyncio.Event) -> int:
+    """Keep opening connections until `stop`; return the peak of the gateway's open descriptors."""
+    clients: list[Client] = []
+    peak = 0
     while not stop.is_set():
-        held = [client for client in held if not client.writer.is_closing()]
-        while len(held) < CROWD and not stop.is_set():
+        clients = [client for client in clients if not client.writer.is_closing()]
+        while len(clients) < TARGET_CONNECTIONS and not stop.is_set():
             client = await Client.connect(port)
             client.writer.write(sends)
-            held.append(client)
-            most = max(most, len(os.listdir(f"/proc/{process}/fd")))
+            clients.append(client)
+            peak = max(peak, len(os.listdir(f"/proc/{process}/fd")))
         await asyncio.sleep(0.01)
-    for client in held:
+    for client in clients:
         client.close()
-    return most
+    return peak
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch: incremental lines, resumption, silence, bad lines."""
+"""The watch on discovery: partial lines, resumption, silence, malformed lines, moves to another service."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 @async_test
 async def test_list_over_many_lines_is_one_list() -> None:
-    """Also behind one on a line, with empty lines between, and cut anywhere on its way."""
+    """Also after a list on one line, with empty lines in between, and split anywhere by the network."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         whole = orjson.loads(line(43, service.discovery_entry("Terminating")))
@@ -135,7 +135,7 @@
 
 @async_test
 async def test_trickle_without_a_line_is_restarted() -> None:
-    """Each byte comes well within the silence that is allowed, and no line ever ends."""
+    """Each byte arrives well within the silence timeout, but no line ever ends."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) > 1:
@@ -157,7 +157,7 @@
 async def test_unread_line_of_the_old_service_is_ignored_after_a_move(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lies here unread as discovery moves: its revision would hide what the new service has to tell."""
+    """The line is unread when discovery moves; its revision would make the new service skip its own lists."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(b"\n"))
@@ -181,9 +181,9 @@
         assert connections[0]._transport is not None
         poll = read_poller(connections[0]._transport.get_extra_info("socket"))
         old.writers[0].write(chunk(line(99, old.discovery_entry())))
-        while not poll(0):  # it is here, and the loop has not had a turn to read it
+        while not poll(0):  # wait without giving the loop a turn to read the line
             pass
-        # Called in the loop's next turn, as a signal's handler is: that turn has the line to read already.
+        # Called in the loop's next turn, like a signal handler: the line waits to be read in that turn.
         asyncio.get_running_loop().call_soon(watch.move, ("127.0.0.1", new.port))
         await wait_until(lambda: lists)
         watch.stop()
@@ -193,7 +193,7 @@
 
 @async_test
 async def test_move_before_the_start_makes_one_watch() -> None:
-    """SIGHUP may come first. A second watch would go on with the old service's lists after the next move."""
+    """SIGHUP may arrive first. A second watch would continue with the old service's lists after a move."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(line(7)))
@@ -204,7 +204,7 @@
         watch.move(("127.0.0.1", service.port))
         watch.start()
         await wait_until(lambda: lists)
-        await asyncio.sleep(0.05)  # a second one would have asked by now
+        await asyncio.sleep(0.05)  # a second watch would have called by now
         watch.stop()
         await wait_until(lambda: service.closed_connections == service.connections)
         assert len(service.requests) == 1
@@ -234,7 +234,7 @@
 
 @async_test
 async def test_call_that_broke_off_after_queueing_is_repeated_soon_each_time() -> None:
-    """Its turn had come: only who had no answer at all, or a refusal, comes back when the line is shorter."""
+    """Its response had begun, so the queue was not full: only dropped or refused calls are spread."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) > 3:
@@ -244,7 +244,7 @@
         writer.write(HEAD + chunk(line(42)[:10]))
         writer.close()
 
-    long = 100 * TEST_TIMEOUT_SECONDS  # for all who had no answer
+    long = 100 * TEST_TIMEOUT_SECONDS  # the backoff of calls without a response
     retry_policy = replace(
         QUICK,
         first_line_timeout=TEST_TIMEOUT_SECONDS,
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,9 +1,9 @@
-"""A process that is ended has told each client by then how its request ended.
+"""A process that is stopped answers every request before it is killed.
 
-What happened: the upload of a purchase began just before SIGTERM, its last byte came 1.0 s later, and its
-time would have ended 2.0 s after that. SIGKILL came at the longest deadline and 0.7 s after SIGTERM, 2.7 s,
-while the process still waited for the host: no answer at all. What was unanswered then had no bound but its
-own time.
+Guards against this failure: the upload of a purchase began just before SIGTERM, its last byte arrived 1.0 s
+later, and its deadline was 2.0 s after that. SIGKILL came 2.7 s after SIGTERM (the longest deadline and
+0.7 s), while the process still waited for the host, and the client had no answer. A stopping process must
+answer earlier than a request's own deadline where that is needed.
 """
 
 from __future__ import annotations
@@ -32,15 +32,17 @@
 from tests.test_program import SETTINGS, listen_port, platform_config, running_program
 from whinrouter.net.http import Message
 
-LONGEST = 2.0  # seconds of the longest deadline
-LIVES = LONGEST + 0.7  # from SIGTERM to SIGKILL at the earliest
+LONGEST_DEADLINE_SECONDS = 2.0  # of all classes
+KILL_DELAY_SECONDS = LONGEST_DEADLINE_SECONDS + 0.7  # from SIGTERM to SIGKILL at the earliest
 BODY = bytes(range(256)) * 2000
-FAILED = {502, 504}
-REFUSED = 503
+FAILURE_STATUSES = {502, 504}
+REFUSAL_STATUS = 503
 
 
 def _settings() -> dict[str, Any]:
-    classes = [entry | {"giveUp": round(LONGEST * 1_000_000)} for entry in SETTINGS["classes"]]
+    classes = [
+        entry | {"giveUp": round(LONGEST_DEADLINE_SECONDS * 1_000_000)} for entry in SETTINGS["classes"]
+    ]
     return SETTINGS | {"classes": classes}
 
 
@@ -53,16 +55,16 @@
     host: ScriptedServer
     client: Client
     process: asyncio.subprocess.Process
-    stopped: float = 0.0  # when it had its signal
+    stopped_at: float = 0.0  # monotonic time of SIGTERM
 
     async def stop(self) -> None:
         self.process.send_signal(signal.SIGTERM)
-        self.stopped = time.monotonic()
+        self.stopped_at = time.monotonic()
         await wait_for_log(self.process, "stopping")
 
     async def answer(self) -> Message:
-        """Its answer, which has to be there before the process may be killed."""
-        async with asyncio.timeout(self.stopped + LIVES - time.monotonic()):
+        """Return the client's answer, which must arrive before the process may be killed."""
+        async with asyncio.timeout(self.stopped_at + KILL_DELAY_SECONDS - time.monotonic()):
             return await self.client.read_answer()
 
 
@@ -76,11 +78,13 @@
 
 
 def _upload(body: bytes = BODY) -> bytes:
-    return request_text("chapter-buy", {"Content-Length": str(len(body)), "X-Deadline": str(LONGEST)}, body)
+    return request_text(
+        "chapter-buy", {"Content-Length": str(len(body)), "X-Deadline": str(LONGEST_DEADLINE_SECONDS)}, body
+    )
 
 
 @async_test
-async def test_an_upload_that_is_whole_late_has_its_answer_before_the_kill(tmp_path: Path) -> None:
+async def test_an_upload_that_completes_late_is_answered_before_the_kill(tmp_path: Path) -> None:
     async with _scene(tmp_path) as scene:
         text = _upload()
         scene.client.writer.write(text[:-1000])
@@ -89,61 +93,61 @@
         await asyncio.sleep(1.0)
         scene.client.writer.write(text[-1000:])
         answer = await scene.answer()
-        assert answer.status in FAILED, "the host may have begun with it"
+        assert answer.status in FAILURE_STATUSES, "the host may have started to execute the request"
         assert not answer.keep_alive
 
 
 @async_test
-async def test_an_upload_that_goes_on_beyond_the_kill_is_answered_before(tmp_path: Path) -> None:
-    """Its host has not had the last byte, so that a refusal would hold too."""
+async def test_an_upload_that_would_outlast_the_process_is_answered_before_the_kill(tmp_path: Path) -> None:
+    """The host does not have the last byte, so a refusal is a correct answer too."""
     async with _scene(tmp_path) as scene:
         text, step = _upload(), 20_000
         scene.client.writer.write(text[: 5 * step])
         await wait_until(lambda: scene.host.received_bytes > 2 * step)
         await scene.stop()
 
-        async def go_on() -> None:
-            for place in range(5 * step, len(text), step):
+        async def keep_sending() -> None:
+            for position in range(5 * step, len(text), step):
                 await asyncio.sleep(step / 80_000)
-                scene.client.writer.write(text[place : place + step])
+                scene.client.writer.write(text[position : position + step])
 
-        sending = asyncio.get_running_loop().create_task(go_on())
+        sending = asyncio.get_running_loop().create_task(keep_sending())
         answer = await scene.answer()
         sending.cancel()
-        assert answer.status in {*FAILED, REFUSED}
+        assert answer.status in {*FAILURE_STATUSES, REFUSAL_STATUS}
         assert not answer.keep_alive
 
 
 @async_test
 async def test_a_request_that_is_still_being_received_is_refused_before_the_kill(tmp_path: Path) -> None:
-    """Nothing of it was sent on: its client is told to go elsewhere before its last byte makes it ours."""
+    """Nothing of it was forwarded: the client is refused before the request is complete."""
     async with _scene(tmp_path) as scene:
         text, step = _upload(BODY[:60_000]), 1_000
         scene.client.writer.write(text[:step])
 
-        async def go_on() -> None:
-            for place in range(step, len(text) - step, step):
+        async def keep_sending() -> None:
+            for position in range(step, len(text) - step, step):
                 await asyncio.sleep(step / 40_000)
-                scene.client.writer.write(text[place : place + step])
+                scene.client.writer.write(text[position : position + step])
 
-        sending = asyncio.get_running_loop().create_task(go_on())
+        sending = asyncio.get_running_loop().create_task(keep_sending())
         await scene.stop()
         await asyncio.sleep(1.0)
-        await sending  # all but its last part
+        await sending  # all but the last part is sent
         answer = await scene.answer()
-        assert answer.status in {408, REFUSED}
+        assert answer.status in {408, REFUSAL_STATUS}
         assert not scene.host.requests
 
 
 @async_test
-async def test_a_request_that_comes_late_on_a_kept_connection_has_its_answer_before_the_kill(
+async def test_a_request_that_arrives_late_on_an_open_connection_is_answered_before_the_kill(
     tmp_path: Path,
 ) -> None:
-    """On a connection that is open still its time would end after the kill."""
+    """The connection is still open at SIGTERM; the request's own deadline is after the kill."""
     async with _scene(tmp_path) as scene:
         text = _upload(b"coins")
         scene.client.writer.write(text[:30])
         await scene.stop()
         await asyncio.sleep(0.65)
         scene.client.writer.write(text[30:])
-        assert (await scene.answer()).status in FAILED
+        assert (await scene.answer()).status in FAILURE_STATUSES
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The decisions in made-up settings, played out: what they serve, and that no rule breaks meanwhile."""
+"""The decisions in simulated fleets: their goodput, and that they break no rule."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
 
 
 def fleet_with_errors(seed: int) -> Fleet:
-    """A fifth of small servers fails fast, before four gateways."""
+    """Four gateways and small servers, a fifth of which fail fast."""
     fault = make_fault(1, 6, 11, error_share=0.9)
     return Fleet(make_machines(15, (3,)), REQUEST_KINDS, 4, 0.7, [fault], zones="ab", seed=seed)
 
 
 def fleet_with_pauses(seed: int) -> Fleet:
-    """Unequal servers of two cores that can be overdriven, seven of which pause, before eight gateways."""
+    """Eight gateways and unequal servers of two cores that can be overloaded; seven of them pause."""
     fault = make_fault(*range(1, 8), pause=300 * MS)
     fleet = make_machines(16, (2,), (1.5, 1.0, 0.6), overload_threshold=6.0)
     return Fleet(fleet, REQUEST_KINDS, 8, 0.65, [fault], zones="ab", seed=seed)
 
 
 def fleet_with_silence(seed: int) -> Fleet:
-    """Few large servers, far zones, one gateway in each; one server takes requests and answers none."""
+    """Two gateways in distant zones and a few large servers, one of which never answers."""
     fault = make_fault(2, is_silent=True)
     return Fleet(
         make_machines(8, (8,)), REQUEST_KINDS, 2, 0.6, [fault], zones="ab", cross_zone_delay=8 * MS, seed=seed
@@ -70,7 +70,7 @@
 def test_goodput_stays_high_through_and_after_faults_of_some_servers(
     make_fleet: Callable[[int], Fleet], before: float, during: float, after: float, seed: int
 ) -> None:
-    """Between a tenth and a quarter is still lost before large servers: the aim is 0.95 there as well."""
+    """With large servers a tenth to a quarter is still lost; the goal is 0.95 there as well."""
     fleet = make_fleet(seed)
     fleet.run(RUN_ENDS)
     assert not fleet.violations
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("window", [30 * SECOND, 800 * MS])
 def test_no_order_runs_twice_as_servers_restart_and_a_zone_drains(window: int, seed: int) -> None:
-    """Answers are lost with what ran, half a zone fails, then it goes; clients ask again at any gateway."""
+    """Answers are lost after requests ran, half a zone fails and then drains; clients retry anywhere."""
     order = RequestClass("order", 2000 * MS, 5000 * MS, Effect.KEYED, Scope.ZONE, window, worth=8.0)
     silent_fault, error_fault = make_fault(2, 4, is_silent=True), make_fault(1, 3, error_share=0.6)
     kinds = (RequestKind(order, 0.6, 60 * MS, 60 * MS), RequestKind(PAY, 0.4, 60 * MS, 60 * MS))
@@ -100,7 +100,7 @@
 
 
 class ScriptedModule:
-    """Decides nothing: to each event of a kind it says what the script has."""
+    """A decision module that returns fixed actions for each type of event."""
 
     def __init__(self, **actions_by_event: Callable[[int], list[Action]]) -> None:
         self._actions_by_event = actions_by_event
@@ -117,20 +117,21 @@
 @pytest.mark.parametrize(
     ("actions_by_event", "violations"),
     [
-        ({"Request": lambda number: [Refuse(number), Fail(number)]}, {"answer too many"}),
+        ({"Request": lambda number: [Refuse(number), Fail(number)]}, {"second answer"}),
         ({"Request": lambda number: [Refuse(number), Send(number, 1)]}, {"send after its answer"}),
         ({}, {"no answer in time"}),
-        ({"Request": lambda number: [Send(number, 1), Send(number, 2)]}, {"effect twice"}),
-        ({"Request": lambda number: [Send(number, 1), Send(number, 3)]}, set()),  # its zone drops the second
-        ({"Request": lambda number: [Send(number, 5)]}, {"send to a server told to leave"}),
-        (SENDS_TO_SERVER | {"AttemptEnded": lambda number: [Fail(number)]}, {"answer too many"}),
+        ({"Request": lambda number: [Send(number, 1), Send(number, 2)]}, {"effect ran twice"}),
+        # The zone of the first server drops the second attempt.
+        ({"Request": lambda number: [Send(number, 1), Send(number, 3)]}, set()),
+        ({"Request": lambda number: [Send(number, 5)]}, {"send to a server that is not ready"}),
+        (SENDS_TO_SERVER | {"AttemptEnded": lambda number: [Fail(number)]}, {"second answer"}),
         (SENDS_TO_SERVER, set()),
     ],
 )
 def test_the_fleet_counts_each_violation(
     actions_by_event: dict[str, Callable[[int], list[Action]]], violations: set[str]
 ) -> None:
-    """Else no rule broken would say nothing of the decisions."""
+    """Otherwise a run without violations would say nothing about the decisions."""
     fleet = Fleet(make_machines(5, (4,)), (RequestKind(ORDER, 1.0, 50 * MS),), 1, 0.1, retries=0)
     fleet.schedule(1, partial(fleet.list_servers, frozenset((5,))))
     fleet.gateways[0].balancer = ScriptedModule(**actions_by_event)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -1,4 +1,4 @@
-"""What clients may send, bad input too."""
+"""Client connections: valid and malformed input, timeouts, and limits."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         (b"GET /page-read HTTP/1.1\r\nHost: a\r\nX-Class: page-read\r\n\r\n", 400),  # no request id
         (b"POST /a HTTP/1.1\r\nContent-Length: 41943041\r\n\r\n", 413),
         (b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1;" + b"a" * 140_000, 413),  # no body
-        (b"GET /a HTTP/1.1\r\nX-Long: " + b"a" * 20_000, 431),  # a head without an end
+        (b"GET /a HTTP/1.1\r\nX-Long: " + b"a" * 20_000, 431),  # an endless head
         (b"GET /a HTTP/1.1\r\n" + b"X-Pad: aaaaaaaaaaaaaa\r\n" * 1000 + b"\r\n", 431),
         (b"DELETE /page-read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n", 405),
         (b"GET /chapter-buy HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n", 405),
@@ -48,7 +48,7 @@
         (b"GET /page-read HTTP/1.1\r\nX-Request-Id: 1\r\nX-Request-Id: 2\r\n\r\n", 400),
         (b"GET /a HTTP/1.1\r\nX-Request-Id: 1\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n", 400),
         (request_text() + b"\x00noise", 400),
-        (request_text("chapter-buy", {}, b"1234") + b"56789\r\n\r\n", 400),  # longer than it says
+        (request_text("chapter-buy", {}, b"1234") + b"56789\r\n\r\n", 400),  # longer than declared
         (request_text(headers={"X-Class": "chapter-buy"}), 400),  # not the class of its path
         (request_text(headers={"X-Request-Id": "1" * 200}), 400),
         (request_text("coupon"), 400),
@@ -67,8 +67,8 @@
         assert len(host.requests) == 1
 
 
-def test_a_large_head_behind_a_whole_message_is_noticed_too() -> None:
-    """Both come in one read, and the first takes the count of bytes back to nothing."""
+def test_a_too_large_head_behind_a_whole_message_is_rejected() -> None:
+    """Both come in one read, and the first message resets the byte count."""
     reader = RequestReader()
     large = b"GET /a HTTP/1.1\r\n" + b"X-Pad: aaaaaaaaaaaaaa\r\n" * 1000 + b"\r\n"
     assert len(reader.feed(request_text() + large)) == 1
@@ -77,7 +77,7 @@
 
 
 @async_test
-async def test_a_client_still_sending_too_much_gets_its_answer() -> None:
+async def test_a_client_that_still_sends_a_too_large_body_gets_its_answer() -> None:
     async with running_gateway() as proxy:
         client = await proxy.client()
         client.writer.write(b"POST /a HTTP/1.1\r\nContent-Length: 80000000\r\n\r\n" + bytes(8_000_000))
@@ -87,7 +87,7 @@
 
 
 @async_test
-async def test_a_request_that_never_ends_is_not_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "RECEIVE_TIMEOUT_SECONDS", 0.2)
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
@@ -98,7 +98,7 @@
 
 
 @async_test
-async def test_a_silent_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_connection_without_a_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "RECEIVE_TIMEOUT_SECONDS", 0.2)
     async with running_gateway() as proxy:
         client = await proxy.client()
@@ -107,7 +107,7 @@
 
 
 @async_test
-async def test_the_first_request_s_time_runs_from_the_connection_s_start(
+async def test_the_receive_timeout_of_the_first_request_starts_with_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(frontend, "RECEIVE_TIMEOUT_SECONDS", 10.0)
@@ -121,13 +121,15 @@
         assert connection.wait_deadline == due
         client.writer.write(request_text()[30:])
         await client.read_answer()
-        client.writer.write(request_text()[:30])  # a later one has a time of its own
+        client.writer.write(request_text()[:30])  # a later one has a timeout of its own
         await wait_until(lambda: connection._request_reader.has_begun)
         assert due < connection.wait_deadline < asyncio.get_running_loop().time() + 10.0
 
 
 @async_test
-async def test_each_of_a_chain_of_requests_has_its_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_each_of_overlapping_requests_has_its_own_receive_timeout(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Each read ends one request and begins the next."""
     monkeypatch.setattr(frontend, "RECEIVE_TIMEOUT_SECONDS", 0.6)
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
@@ -140,7 +142,7 @@
 
 
 @async_test
-async def test_a_client_idle_for_long_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_idle_connection_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "IDLE_TIMEOUT_SECONDS", 0.2)
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
@@ -149,14 +151,16 @@
 
 
 @async_test
-async def test_too_many_requests_ahead_are_turned_away() -> None:
-    """The one in work has its own answer: it may have run, and a refusal would say that it had not."""
+async def test_too_many_pipelined_requests_are_rejected() -> None:
+    """The request in progress gets its own answer: it may have run, and a refusal would deny that."""
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         client.writer.write(request_text("chapter-buy"))
         await wait_until(lambda: host.requests)
         client.writer.write(b"".join(request_text("chapter-buy") for _ in range(50)))
-        await wait_until(lambda: any(other._has_too_many_queued for other in proxy.frontend.connections))
+        await wait_until(
+            lambda: any(connection._has_too_many_queued for connection in proxy.frontend.connections)
+        )
         await answers_with()(host.requests[0], host.request_writers[0])
         text = await client.read_to_end()
         assert [part[:3] for part in text.split(b"HTTP/1.1 ")[1:]] == [b"200", b"429"]
@@ -164,14 +168,16 @@
 
 
 @async_test
-async def test_what_waits_is_bounded_over_all_clients(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_buffered_bytes_of_all_clients_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(frontend, "MAX_BUFFERED_BYTES", 100_000)
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         clients = [await proxy.client() for _ in range(2)]
         text = request_text("chapter-buy", {}, bytes(60_000))
         for client in clients:
             client.writer.write(text[:-1])
-        await wait_until(lambda: sum(other._is_input_ignored for other in proxy.frontend.connections) == 1)
+        await wait_until(
+            lambda: sum(connection._is_input_ignored for connection in proxy.frontend.connections) == 1
+        )
         assert proxy.frontend.buffered_bytes <= 100_000
         for client in clients:
             client.writer.write(text[-1:])
@@ -179,24 +185,24 @@
         assert proxy.frontend.buffered_bytes == 0
 
 
-def _interpreted(proxy: RunningGateway, headers: dict[str, str]) -> ClientRequest:
+def _interpret(proxy: RunningGateway, headers: dict[str, str]) -> ClientRequest:
     (message,) = RequestReader().feed(request_text(headers=headers))
     return proxy.frontend.interpreter.interpret(message, now=0.0)
 
 
 @asynccontextmanager
-async def _at_the_limit(limit: int = 2) -> AsyncIterator[RunningGateway]:
-    """A gateway whose clients all have requests that no host answers."""
+async def _full_gateway(limit: int = 2) -> AsyncIterator[RunningGateway]:
+    """Run a gateway at its connection limit, with a request in progress on each connection."""
     advising = replace(SETTINGS, sends_retry_after=True)
     async with (
         scripted_servers(never_answers) as (host,),
         running_gateway(host.member(), settings=advising, max_connections=limit) as proxy,
     ):
-        busy: list[Client] = []
-        for _ in range(limit):  # each at work before the next comes: an idle one would make room
-            busy.append(await proxy.client())
-            busy[-1].writer.write(request_text())
-            await wait_until(lambda: len(host.requests) == len(busy))
+        busy_clients: list[Client] = []
+        for _ in range(limit):  # one after the other, as an idle connection would be evicted
+            busy_clients.append(await proxy.client())
+            busy_clients[-1].writer.write(request_text())
+            await wait_until(lambda: len(host.requests) == len(busy_clients))
         yield proxy
         assert proxy.gateway.unanswered_count == limit
         assert len(host.requests) == limit
@@ -204,8 +210,8 @@
 
 @pytest.mark.parametrize("class_name", ["page-read", "chapter-buy"])
 @async_test
-async def test_over_the_limit_a_request_is_refused_with_an_answer(class_name: str) -> None:
-    async with _at_the_limit() as proxy:
+async def test_above_the_connection_limit_a_request_is_refused_with_an_answer(class_name: str) -> None:
+    async with _full_gateway() as proxy:
         for _ in range(2 * MAX_SURPLUS_CONNECTIONS):
             client = await proxy.client()
             answer = await client.fetch(class_name)
@@ -218,17 +224,17 @@
 
 
 @async_test
-async def test_over_the_limit_a_connection_that_sends_nothing_is_closed_soon() -> None:
-    async with _at_the_limit() as proxy:
+async def test_above_the_connection_limit_a_silent_connection_is_closed_soon() -> None:
+    async with _full_gateway() as proxy:
         with contextlib.suppress(ConnectionError):
             assert await (await proxy.client()).read_to_end() == b""
         await wait_until(lambda: len(proxy.frontend.connections) == 2)
 
 
 @async_test
-async def test_far_over_the_limit_a_connection_is_closed_at_once() -> None:
-    async with _at_the_limit() as proxy:
-        replace_method(proxy.frontend, "_evict_connection", lambda gives_way: False)
+async def test_far_above_the_connection_limit_a_connection_is_closed_at_once() -> None:
+    async with _full_gateway() as proxy:
+        replace_method(proxy.frontend, "_evict_connection", lambda is_evictable: False)
         waiting = [await proxy.client() for _ in range(MAX_SURPLUS_CONNECTIONS)]
         await wait_until(lambda: len(proxy.frontend.surplus_connections) == MAX_SURPLUS_CONNECTIONS)
         with contextlib.suppress(ConnectionError):
@@ -237,25 +243,27 @@
 
 
 @async_test
-async def test_those_who_send_nothing_keep_nobody_out() -> None:
+async def test_silent_connections_are_evicted_for_new_ones() -> None:
     async with (
         scripted_servers(answers_with()) as (host,),
         running_gateway(host.member(), max_connections=3) as proxy,
     ):
-        silent_ones = [await proxy.client() for _ in range(20)]
+        silent_clients = [await proxy.client() for _ in range(20)]
         assert (await proxy.fetch()).status == 200
         assert len(proxy.frontend.connections) <= 3
-        for client in silent_ones:
+        for client in silent_clients:
             client.close()
 
 
 @async_test
 async def test_a_rejected_request_has_one_answer() -> None:
-    """Its time to arrive may run out while the connection lingers."""
+    """Its receive timeout may pass while the connection lingers."""
     async with running_gateway() as proxy:
         client = await proxy.client()
         client.writer.write(b"POST /a HTTP/1.1\r\n")
-        await wait_until(lambda: any(other._request_reader.has_begun for other in proxy.frontend.connections))
+        await wait_until(
+            lambda: any(connection._request_reader.has_begun for connection in proxy.frontend.connections)
+        )
         (connection,) = proxy.frontend.connections
         client.writer.write(b"nonsense\r\n\r\n")
         assert (await client.read_answer()).status == 400
@@ -283,8 +291,8 @@
     ],
 )
 @async_test
-async def test_a_length_told_oddly_reaches_no_host(framing: bytes) -> None:
-    """What another parser reads as the body's end may be the start of a request that nobody checked."""
+async def test_an_ambiguous_body_length_reaches_no_host(framing: bytes) -> None:
+    """Another parser could see the end of the body elsewhere, and find a smuggled request behind it."""
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         head = request_text("chapter-buy").split(b"\r\nContent-Length")[0] + b"\r\n" + framing
@@ -296,7 +304,7 @@
 
 
 @async_test
-async def test_a_deadline_untold_or_too_long_is_the_class_s() -> None:
+async def test_a_missing_or_too_long_deadline_is_that_of_the_class() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         for deadline in ("", "1e9"):
             await proxy.fetch(headers={"X-Deadline": deadline})
@@ -304,7 +312,7 @@
 
 
 @async_test
-async def test_noise_behind_a_request_in_work_ends_it() -> None:
+async def test_malformed_input_behind_a_request_in_progress_ends_it() -> None:
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         client.writer.write(request_text("chapter-buy"))
@@ -316,7 +324,7 @@
 
 
 @async_test
-async def test_an_id_is_open_once_at_a_time() -> None:
+async def test_an_id_in_use_is_rejected() -> None:
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         same = {"X-Request-Id": "77"}
         first, second = await proxy.client(), await proxy.client()
@@ -328,12 +336,12 @@
         await wait_until(lambda: not proxy.frontend.active_request_ids)
         host.script = answers_with()
         answers = {(await proxy.fetch("chapter-buy", same)).status for _ in range(20)}
-        assert 200 in answers  # now and after each answer
+        assert 200 in answers  # the id is free now and after each answer
         assert 400 not in answers
 
 
 @async_test
-async def test_the_id_goes_on_though_a_client_would_strike_it_out() -> None:
+async def test_the_request_id_is_forwarded_even_if_listed_in_connection() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         await proxy.fetch(headers={"Connection": "x-request-id, x-other", "X-Other": "1"})
         assert host.requests[0].get(b"x-request-id")
@@ -341,7 +349,7 @@
 
 
 @async_test
-async def test_a_trailer_is_no_header() -> None:
+async def test_a_trailer_is_not_treated_as_a_header() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         head = request_text("chapter-buy").split(b"\r\nContent-Length")[0]
@@ -354,25 +362,25 @@
 
 
 @async_test
-async def test_a_hint_is_believed_up_to_the_class_s_time() -> None:
+async def test_a_cost_hint_is_capped_at_the_deadline_of_the_class() -> None:
     async with running_gateway() as proxy:
         for hint, cost in (("9" * 12, 15_000_000), ("9" * 5000, 0), ("-1", 0)):
-            asked = _interpreted(proxy, {"X-Cost-Hint": hint})
-            assert asked.cost == cost
+            client_request = _interpret(proxy, {"X-Cost-Hint": hint})
+            assert client_request.cost == cost
 
 
 @async_test
-async def test_the_class_may_stand_in_the_path_alone() -> None:
+async def test_the_class_header_is_optional() -> None:
     async with (
         scripted_servers(resets_connection, answers_with()) as hosts,
         running_gateway(*(host.member() for host in hosts)) as proxy,
     ):
         answers = [(await proxy.fetch(headers={"X-Class": ""})).status for _ in range(3)]
-        assert answers == [200, 200, 200]  # known as safe, it moves on
+        assert answers == [200, 200, 200]  # retried, as its class is idempotent
 
 
 @async_test
-async def test_requests_sent_ahead_are_answered_in_turn() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         client.writer.write(
@@ -384,7 +392,7 @@
 
 
 @async_test
-async def test_a_body_is_asked_for_where_the_client_waits_for_leave() -> None:
+async def test_100_continue_is_sent_to_a_client_that_expects_it() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         head = request_text("chapter-buy", {"Expect": "100-continue"}, b"12")[:-2]
@@ -397,7 +405,7 @@
 
 
 @async_test
-async def test_up_waits_for_a_list() -> None:
+async def test_up_is_503_until_there_is_a_host_list() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway() as proxy:
         client = await proxy.client()
         client.writer.write(b"GET /up HTTP/1.1\r\n\r\n")
@@ -408,29 +416,31 @@
 
 
 @async_test
-async def test_clients_that_ask_once_and_stay_take_no_room_from_others() -> None:
-    """Where all clients together have fewer places than the gateway, idle connections would fill them."""
-    places = 4
+async def test_idle_connections_are_evicted_below_the_limit() -> None:
+    """Otherwise clients that can open fewer connections than the gateway accepts would use them up."""
+    client_limit = 4
     async with (
         scripted_servers(answers_with()) as (host,),
-        running_gateway(host.member(), max_connections=2 * places) as proxy,
+        running_gateway(host.member(), max_connections=2 * client_limit) as proxy,
     ):
         slow = await proxy.client()
         text = request_text()
         slow.writer.write(text[:-1])
-        await wait_until(lambda: any(other._request_reader.has_begun for other in proxy.frontend.connections))
-        stay = []
-        for _ in range(3 * places):
-            stay.append(await proxy.client())
-            assert (await stay[-1].fetch()).status == 200
-            assert len(proxy.frontend.connections) <= places
+        await wait_until(
+            lambda: any(connection._request_reader.has_begun for connection in proxy.frontend.connections)
+        )
+        idle_clients = []
+        for _ in range(3 * client_limit):
+            idle_clients.append(await proxy.client())
+            assert (await idle_clients[-1].fetch()).status == 200
+            assert len(proxy.frontend.connections) <= client_limit
         slow.writer.write(text[-1:])
         assert (await slow.read_answer()).status == 200
 
 
 @async_test
-async def test_a_crowd_of_clients_leaves_descriptors_free() -> None:
-    """The connection unused for longest makes room."""
+async def test_at_the_connection_limit_the_longest_idle_connection_is_evicted() -> None:
+    """Descriptors stay free for connections to hosts."""
     async with (
         scripted_servers(answers_with()) as (host,),
         running_gateway(host.member(), max_connections=4) as proxy,
@@ -444,19 +454,27 @@
 
 
 @async_test
-async def test_hints_reach_the_module() -> None:
+async def test_hints_are_interpreted() -> None:
     async with running_gateway() as proxy:
         headers = {"X-Cost-Hint": "9000", "X-Key": "user:4", "X-Retry": "1", "X-Tenant": "acme"}
-        asked = _interpreted(proxy, headers)
-        assert (asked.class_name, asked.timeout, asked.cost) == ("page-read", 10_000 * MS, 9000)
-        assert (asked.key, asked.is_retry, asked.tenant) == ("user:4", True, "acme")
-        senseless = {"X-Cost-Hint": "much", "X-Retry": "no"}
-        asked = _interpreted(proxy, senseless)
-        assert (asked.cost, asked.is_retry) == (0, False)
+        client_request = _interpret(proxy, headers)
+        assert (client_request.class_name, client_request.timeout, client_request.cost) == (
+            "page-read",
+            10_000 * MS,
+            9000,
+        )
+        assert (client_request.key, client_request.is_retry, client_request.tenant) == (
+            "user:4",
+            True,
+            "acme",
+        )
+        invalid_hints = {"X-Cost-Hint": "much", "X-Retry": "no"}
+        client_request = _interpret(proxy, invalid_hints)
+        assert (client_request.cost, client_request.is_retry) == (0, False)
 
 
 @async_test
-async def test_answers_that_a_client_does_not_read_do_not_pile_up() -> None:
+async def test_unread_answers_stop_the_processing_of_requests() -> None:
     async with (
         scripted_servers(answers_with(body=bytes(60_000))) as (host,),
         running_gateway(host.member()) as proxy,
@@ -467,12 +485,14 @@
 
 
 @async_test
-async def test_a_request_that_has_begun_to_come_is_still_answered_at_the_end() -> None:
+async def test_a_partly_received_request_is_still_answered_when_the_process_stops() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         text = request_text()
         client.writer.write(text[:30])
-        await wait_until(lambda: any(other._request_reader.has_begun for other in proxy.frontend.connections))
+        await wait_until(
+            lambda: any(connection._request_reader.has_begun for connection in proxy.frontend.connections)
+        )
         proxy.frontend.presence.stop(asyncio.get_running_loop().time())
         proxy.frontend.close()
         client.writer.write(text[30:])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,9 @@
-"""The four rules on sockets, deadlines, leaving clients, and faults."""
+"""The gateway on real sockets: the four rules of sending, deadlines, leaving clients, and faults.
+
+Rule 1: each request is answered exactly once and in time. Rule 2: a request that may have run is repeated
+only if its class allows it. Rule 3: a host that drains or left gets no new request. Rule 4: a cold host gets
+a part of its normal load.
+"""
 
 from __future__ import annotations
 
@@ -54,7 +59,7 @@
 
 
 @async_test
-async def test_a_host_s_answer_comes_back_unchanged() -> None:
+async def test_a_host_s_answer_is_forwarded_unchanged() -> None:
     async with scripted_servers(answers_with(body=b"\x00page 4", Content_Type="image/png")) as (host,):
         async with running_gateway(host.member()) as proxy:
             answer = await proxy.fetch(headers={"X-Cost-Hint": "9000", "X-Request-Id": "9b1f03aa"})
@@ -66,7 +71,7 @@
 
 
 @async_test
-async def test_a_body_and_its_key_go_on_unchanged() -> None:
+async def test_a_body_and_its_idempotency_key_are_forwarded_unchanged() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         await client.fetch("chapter-buy", {"Idempotency-Key": "5c0f"}, b"chapter 12")
@@ -77,15 +82,15 @@
 
 @pytest.mark.parametrize(("class_name", "status"), [("page-read", 503), ("chapter-buy", 502)])
 @async_test
-async def test_a_silent_host_s_request_is_answered_once_and_in_time(class_name: str, status: int) -> None:
+async def test_a_request_to_a_silent_host_is_answered_once_and_in_time(class_name: str, status: int) -> None:
     """Rule 1; a purchase that may have run is failed, as a refusal would invite a second one."""
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
-        asked = time.monotonic()
+        started_at = time.monotonic()
         answer = await client.fetch(class_name, {"X-Deadline": "0.4"})
         assert answer.status == status
-        # How long it lay unread is told to a millisecond or two.
-        assert time.monotonic() - asked >= 0.4 - DEADLINE_MARGIN_MICROSECONDS / 1e6 - 0.01
+        # The time for which the request waited unread is known to a millisecond or two.
+        assert time.monotonic() - started_at >= 0.4 - DEADLINE_MARGIN_MICROSECONDS / 1e6 - 0.01
         await wait_until(lambda: host.closed_connections)
         assert proxy.gateway.unanswered_count == 0
         proxy.frontend.close()
@@ -93,25 +98,26 @@
 
 
 @async_test
-async def test_the_module_s_time_ends_before_the_client_s() -> None:
+async def test_the_balancer_s_deadline_is_before_the_client_s() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         events = record_events(proxy)
         await proxy.fetch(headers={"X-Deadline": "0.4"})
-        asked = events[0]
-        assert isinstance(asked, Request)
-        assert asked[:2] == (1, "page-read")
-        assert 200 * MS < asked.timeout <= 400 * MS - DEADLINE_MARGIN_MICROSECONDS  # less what it waited here
+        request = events[0]
+        assert isinstance(request, Request)
+        assert request[:2] == (1, "page-read")
+        # 400 ms minus the margin and the time that the request waited unread.
+        assert 200 * MS < request.timeout <= 400 * MS - DEADLINE_MARGIN_MICROSECONDS
         assert DEADLINE_MARGIN_MICROSECONDS > 5 * MS
 
 
 @async_test
 async def test_a_purchase_still_connecting_at_its_deadline_is_refused() -> None:
-    """No host had it, so that the client may try again."""
+    """No host received the request, so the client may safely retry."""
     with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         with contextlib.ExitStack() as stack:
-            for _ in range(3):  # fills the queue: what comes next never comes up
+            for _ in range(3):  # fills the backlog: further connections are never established
                 other = stack.enter_context(socket.socket())
                 other.setblocking(False)
                 other.connect_ex(full.getsockname())
@@ -132,10 +138,10 @@
 
 
 @async_test
-async def test_a_purchase_that_never_ran_moves_on() -> None:
-    turned_away = answers_with(503, X_Not_Run="1")
+async def test_a_purchase_that_never_ran_is_retried() -> None:
+    refuses = answers_with(503, X_Not_Run="1")
     async with (
-        scripted_servers(turned_away, answers_with()) as hosts,
+        scripted_servers(refuses, answers_with()) as hosts,
         running_gateway(*(host.member() for host in hosts)) as proxy,
     ):
         answers = [(await proxy.fetch("chapter-buy")).status for _ in range(3)]
@@ -143,7 +149,7 @@
 
 
 @async_test
-async def test_a_purchase_that_no_host_had_is_refused() -> None:
+async def test_a_purchase_that_no_host_accepted_is_refused() -> None:
     async with (
         scripted_servers(answers_with(503, X_Not_Run="1")) as (host,),
         running_gateway(host.member()) as proxy,
@@ -153,7 +159,7 @@
 
 @pytest.mark.parametrize("script", [resets_connection, answers_with(500), answers_with(503)])
 @async_test
-async def test_a_page_read_is_tried_at_another_host(script: Script) -> None:
+async def test_a_page_read_is_retried_at_another_host(script: Script) -> None:
     async with (
         scripted_servers(script, answers_with()) as hosts,
         running_gateway(*(host.member() for host in hosts)) as proxy,
@@ -162,7 +168,7 @@
 
 
 @async_test
-async def test_nothing_new_goes_to_a_host_that_drains_or_left() -> None:
+async def test_no_new_request_is_sent_to_a_host_that_drains_or_left() -> None:
     """Rule 3."""
     async with (
         scripted_servers(answers_with(), answers_with()) as hosts,
@@ -172,9 +178,8 @@
         for _ in range(10):
             assert (await proxy.fetch()).status == 200
         assert not hosts[0].requests
-        proxy.gateway.update_hosts(
-            make_host_list(hosts[0].member(), revision=3)
-        )  # a whole list without the other
+        # A complete list without the other host.
+        proxy.gateway.update_hosts(make_host_list(hosts[0].member(), revision=3))
         count = len(hosts[1].requests)
         for _ in range(10):
             assert (await proxy.fetch()).status == 200
@@ -183,7 +188,7 @@
 
 @async_test
 async def test_a_cold_host_gets_but_a_part() -> None:
-    """Rule 4: the module hears when each host started, on its own clock."""
+    """Rule 4: the balancer gets each host's start time on its own clock."""
     cold = Settings((READ, BUY), max_attempts=5, cold_share=0.13, ramp_time=24_000_000)
     async with scripted_servers(answers_with(), answers_with()) as hosts:
         now = Clock().now()
@@ -195,7 +200,7 @@
 
 
 @async_test
-async def test_a_client_that_closes_is_gone() -> None:
+async def test_the_attempt_of_a_client_that_closes_is_cancelled() -> None:
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         events = record_events(proxy)
         client = await proxy.client()
@@ -209,12 +214,12 @@
 
 
 @async_test
-async def test_clients_that_leave_early_are_no_sign_of_overload() -> None:
+async def test_clients_that_leave_early_do_not_count_as_overload() -> None:
     kind = RequestClass("page-read", 10_000 * MS, 15_000 * MS, Effect.IDEMPOTENT)
-    unhurried = Settings((kind,), may_cancel=True)
+    slow_settings = Settings((kind,), may_cancel=True)
     async with (
         scripted_servers(never_answers) as (host,),
-        running_gateway(host.member(), settings=unhurried) as proxy,
+        running_gateway(host.member(), settings=slow_settings) as proxy,
     ):
         for count in range(1, 21):
             client = await proxy.client()
@@ -225,8 +230,8 @@
 
 
 @async_test
-async def test_the_crowd_at_the_start_is_not_refused() -> None:
-    """All clients begin at once; what the module allows at hosts that it has just met must do for that."""
+async def test_a_burst_at_the_start_is_not_refused() -> None:
+    """The initial concurrency limit of new hosts must suffice for clients that all start at once."""
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         clients = [await proxy.client() for _ in range(8)]
         for client in clients:
@@ -235,56 +240,56 @@
 
 
 @async_test
-async def test_a_fault_in_one_request_fails_it_and_no_other(caplog: pytest.LogCaptureFixture) -> None:
+async def test_an_exception_in_the_balancer_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         handle = proxy.balancer.handle
 
-        def faulty(event: Event, now: int) -> list[Action]:
+        def failing_handle(event: Event, now: int) -> list[Action]:
             if isinstance(event, Request) and event.key == "poison":
                 raise RuntimeError("a fault of this test")
             return handle(event, now)
 
-        replace_method(proxy.balancer, "handle", faulty)
+        replace_method(proxy.balancer, "handle", failing_handle)
         assert (await proxy.fetch(headers={"X-Key": "poison"})).status == 500
         assert (await proxy.fetch()).status == 200
         assert "a fault of this test" in caplog.text
 
 
 @async_test
-async def test_a_fault_at_an_outcome_fails_its_request_at_once() -> None:
+async def test_an_exception_at_the_end_of_an_attempt_fails_the_request_at_once() -> None:
     async with scripted_servers(answers_with(500)) as (host,), running_gateway(host.member()) as proxy:
         handle = proxy.balancer.handle
 
-        def faulty(event: Event, now: int) -> list[Action]:
+        def failing_handle(event: Event, now: int) -> list[Action]:
             if isinstance(event, AttemptEnded):
                 raise RuntimeError("a fault of this test")
             return handle(event, now)
 
-        replace_method(proxy.balancer, "handle", faulty)
+        replace_method(proxy.balancer, "handle", failing_handle)
         assert (await proxy.fetch()).status == 500
         await wait_until(lambda: not proxy.gateway._pending)
 
 
 @async_test
 async def test_nothing_is_sent_after_the_final_answer() -> None:
-    """A decision that came too late reaches neither a host nor the client."""
+    """An action that comes too late reaches neither a host nor the client."""
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        handle, ends = proxy.balancer.handle, []
+        handle, attempt_outcomes = proxy.balancer.handle, []
 
-        def late(event: Event, now: int) -> list[Action]:
+        def handle_with_late_actions(event: Event, now: int) -> list[Action]:
             if isinstance(event, AttemptEnded):
-                ends.append(event.outcome)
+                attempt_outcomes.append(event.outcome)
             actions = handle(event, now)
             if not isinstance(event, Request):
                 return actions
             return [*actions, Refuse(event.id), Send(event.id, host.member().server.id), Fail(event.id)]
 
-        replace_method(proxy.balancer, "handle", late)
+        replace_method(proxy.balancer, "handle", handle_with_late_actions)
         client = await proxy.client()
         assert (await client.fetch()).status == 503
         await wait_until(lambda: not proxy.gateway._pending)
         # The first was still connecting, and the second had not begun.
-        assert ends == [Outcome.NOT_SENT, Outcome.CANCELLED]
+        assert attempt_outcomes == [Outcome.NOT_SENT, Outcome.CANCELLED]
         proxy.frontend.close()
         assert await client.read_to_end() == b""
         await wait_until(lambda: proxy.upstream.descriptors_in_use == 0)
@@ -292,7 +297,7 @@
 
 
 @async_test
-async def test_an_attempt_that_takes_too_long_ends_before_its_request_s_time() -> None:
+async def test_the_attempt_timeout_ends_an_attempt_before_its_request_s_deadline() -> None:
     async with (
         scripted_servers(never_answers) as (host,),
         running_gateway(host.member(), attempt_time=50 * MS) as proxy,
@@ -301,37 +306,37 @@
         assert (await proxy.fetch("chapter-buy", {"X-Deadline": "20"})).status == 502
         (ended,) = [event for event in events if isinstance(event, AttemptEnded)]
         assert ended.outcome is Outcome.TIMEOUT
-        assert 50 * MS <= ended.latency < 10_000 * MS  # the request's own time ends after 20 s
+        assert 50 * MS <= ended.latency < 10_000 * MS  # the request's own deadline is after 20 s
         assert len(host.requests) == 1
 
 
 @async_test
-async def test_a_request_that_the_module_forgets_is_answered_at_its_deadline() -> None:
+async def test_a_request_that_the_balancer_forgets_is_answered_at_its_deadline() -> None:
     async with running_gateway() as proxy:
         replace_method(proxy.balancer, "handle", lambda event, now: [])
         assert (await proxy.fetch(headers={"X-Deadline": "0.1"})).status == 504
 
 
 @async_test
-async def test_advice_on_when_to_come_back_is_passed_on() -> None:
+async def test_retry_after_is_forwarded() -> None:
     async with running_gateway() as proxy:
 
-        def advises(event: Event, now: int) -> list[Action]:
+        def handle_with_advice(event: Event, now: int) -> list[Action]:
             return [Refuse(event.id, 250 * MS)] if isinstance(event, Request) else []
 
-        replace_method(proxy.balancer, "handle", advises)
+        replace_method(proxy.balancer, "handle", handle_with_advice)
         answer = await proxy.fetch()
         assert (answer.status, answer.get(b"retry-after")) == (503, "0.250")
 
 
 @async_test
 async def test_a_hedge_s_loser_is_called_off() -> None:
-    """The slower copy ends as its sibling wins, and the client sees one answer."""
+    """The slower of two attempts is cancelled when the other is answered; the client gets one answer."""
     async with (
         scripted_servers(answers_with(), answers_with()) as hosts,
         running_gateway(*(h.member() for h in hosts), settings=SETTINGS) as proxy,
     ):
-        for _ in range(20):  # teaches the module how long an answer takes
+        for _ in range(20):  # for the balancer to learn the usual latency
             await proxy.fetch()
         for host in hosts:
             host.script = never_answers
@@ -347,7 +352,7 @@
 
 
 @async_test
-async def test_a_timer_about_an_attempt_that_has_ended_is_not_told() -> None:
+async def test_the_timer_of_an_attempt_that_has_ended_does_not_fire() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         events = record_events(proxy)
         for _ in range(5):
@@ -357,7 +362,7 @@
 
 
 @async_test
-async def test_a_timer_about_an_attempt_that_is_out_is_told() -> None:
+async def test_the_timer_of_an_attempt_in_flight_fires() -> None:
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         events = record_events(proxy)
         client = await proxy.client()
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""What a host does to one class of request, while it serves the others."""
+"""Hosts that fail or never answer one class of requests, while they serve the others."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 )
 from whinrouter.net.http import Message
 
-CLIENTS, PURCHASES_PER_CLIENT = 6, 40  # clients, and what each buys
-SERVE_SECONDS = 0.02  # seconds to serve one: a stall of this loop must not look like a late answer
+CLIENTS, PURCHASES_PER_CLIENT = 6, 40
+SERVE_SECONDS = 0.02  # per request; so long that a stall of the test's loop does not look like a late answer
 
 
 def is_purchase(request: Message) -> bool:
@@ -33,7 +33,7 @@
 
 
 def fail_purchases(every: int, failure: Script) -> Script:
-    """Serves all reads at once, and fails each so-many-th purchase as quickly."""
+    """Serve all reads, and fail every n-th purchase after the same time."""
     purchases = 0
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -51,7 +51,7 @@
 
 
 async def ask_until_served(client: Client, class_name: str) -> None:
-    """Until it isn't refused: on a slow machine the breaker of a good host opens for a while."""
+    """Repeat refused requests: on a slow machine the breaker of a good host may open for a while."""
     while (await client.fetch(class_name)).status == 503:
         await asyncio.sleep(SERVE_SECONDS)
 
@@ -69,7 +69,7 @@
 async def test_a_host_that_fails_one_class_gets_few_requests_of_that_class(
     every: int, failure: Script
 ) -> None:
-    """Purchases failed at half of the hosts, which served reads: no three failures came in a row."""
+    """Half of the purchases failed at one host, which served all reads: never three failures in a row."""
     async with (
         scripted_servers(fail_purchases(every, failure), serve_after_delay) as hosts,
         running_gateway(*(h.member() for h in hosts)) as proxy,
@@ -79,9 +79,8 @@
         purchases = [sum(map(is_purchase, host.requests)) for host in hosts]
         assert purchases[0] < sum(purchases) / 4
         proxy.gateway.update_hosts(make_host_list(hosts[0].member()))
-        await ask_until_served(
-            await proxy.client(), "page-read"
-        )  # the others may have been idle for too long
+        # By a new client, as the connections of the others may have been idle for too long.
+        await ask_until_served(await proxy.client(), "page-read")
         assert not is_purchase(hosts[0].requests[-1])
 
 
@@ -98,10 +97,11 @@
 
 @async_test
 async def test_a_host_silent_on_one_class_is_detected_though_clients_disconnect_first() -> None:
-    """Each that left freed its place, so that the silent host looked the least busy."""
+    """Each client that left freed a slot, so that the silent host looked like the least loaded."""
 
     async def answer_slowly(request: Message, writer: asyncio.StreamWriter) -> None:
-        await asyncio.sleep(0.1 if is_purchase(request) else SERVE_SECONDS)  # as long as is usual at first
+        # As long as the expected latency at first.
+        await asyncio.sleep(0.1 if is_purchase(request) else SERVE_SECONDS)
         await answers_with()(request, writer)
 
     async with (
--- a/tests/test_hostfile.py
+++ b/tests/test_hostfile.py
@@ -1,4 +1,4 @@
-"""A watched host file, and the listener that opens and closes with an application."""
+"""The hosts' file, and the listener that opens and closes with the application."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @async_test
 async def test_listener_closed_while_opening_does_not_listen() -> None:
-    """An application that dies as soon as it was seen must not leave its sidecar listening."""
+    """An application that exits right after it was found must not leave its sidecar listening."""
     listener = Listener(asyncio.Protocol)
     listener.bind("127.0.0.1", 0)
     assert listener._socket is not None
--- a/tests/test_late_attempts.py
+++ b/tests/test_late_attempts.py
@@ -1,4 +1,4 @@
-"""When an attempt that is out counts as late."""
+"""A running attempt is late by comparison with its class, long before the deadline."""
 
 from __future__ import annotations
 
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -1,7 +1,7 @@
-"""An attempt that had to wait for its connection begins only while it still may.
+"""An attempt that waited for its connection is written only while that is still allowed.
 
-A keyed request is dropped by its group as a repeat only while that remembers the first one. What the
-decisions send in time can come up too late.
+A group of hosts drops the repeats of a keyed request only within the dedup window. An attempt that the
+decision module sends in time can get its connection too late.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from whinrouter.net.hosts import HostList, Member
 from whinrouter.net.http import Message
 
-DEDUP_WINDOW = SECOND  # so long that a stall of the test's own machine does not end it
+DEDUP_WINDOW = SECOND  # long enough that a stall of the test machine does not exceed it
 
 
 def _settings(window: int = DEDUP_WINDOW, scope: Scope = Scope.ALL) -> Settings:
@@ -39,7 +39,7 @@
 
 
 def _block_loop(seconds: float) -> None:
-    """Let time pass without a turn of the loop."""
+    """Block the event loop for some time."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while loop.time() < end:
@@ -59,7 +59,7 @@
             def connect_late(*args: Any) -> None:
                 nonlocal connections
                 connections += 1
-                if connections > 1:  # of the repeat
+                if connections > 1:  # the retry's connection
                     _block_loop(DEDUP_WINDOW / SECOND)
                 up(*args)
 
@@ -91,7 +91,7 @@
 
 
 class _StalledSender:
-    """Hosts to which no connection comes up before a test says so."""
+    """A sender of attempts whose connections are established when a test says so."""
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
@@ -117,6 +117,7 @@
         return self.attempts[-1]
 
     def blocked_outcome(self, number: int) -> Outcome | None:
+        """Return the outcome that keeps an attempt from being written, or None if it may be written."""
         attempt = self.attempts[number]
         assert attempt.may_begin is not None
         return attempt.may_begin(attempt, True, True)
@@ -138,12 +139,12 @@
 
 @async_test
 async def test_the_dedup_window_also_binds_the_first_of_two_attempts() -> None:
-    """Its connection comes up late, and the copy that was started meanwhile may have run."""
+    """The first connection is established late, and the hedge that started meanwhile may have run."""
     sender = _StalledSender()
     gateway = _create_gateway(sender, _settings())
     answers = _submit(gateway)
     assert sender.blocked_outcome(0) is None
-    await wait_until(lambda: len(sender.attempts) > 1)  # late by its like
+    await wait_until(lambda: len(sender.attempts) > 1)  # the first one is late, so a hedge starts
     _block_loop(DEDUP_WINDOW / SECOND)
     assert sender.blocked_outcome(0) is Outcome.NOT_SENT
     assert sender.blocked_outcome(1) is Outcome.NOT_SENT
@@ -153,7 +154,7 @@
 @pytest.mark.parametrize("window", [0, 1, 5 * MS])
 @async_test
 async def test_a_sole_attempt_may_connect_after_the_dedup_window(window: int) -> None:
-    """Nothing that it would be a repeat of can have run: also where all before it never were sent."""
+    """No other attempt can have run, even if earlier ones were never written."""
     sender = _StalledSender()
     gateway = _create_gateway(sender, _settings(window))
     _submit(gateway)
--- a/tests/test_late_loop.py
+++ b/tests/test_late_loop.py
@@ -1,4 +1,8 @@
-"""A gateway at its own limit, on real sockets: what is refused, who is blamed, and what is not done twice."""
+"""A gateway under overload or event loop lag, on real sockets.
+
+Checks what is refused, that the gateway's own delay does not count as a host's latency, and that nothing runs
+twice.
+"""
 
 from __future__ import annotations
 
@@ -49,24 +53,24 @@
 from whinrouter.net.priority_selector import PrioritySelector
 from whinrouter.overload_control import OverloadControl
 
-PAUSE = 0.06  # seconds for which a loop is held up here: some targets
+LOOP_DELAY_SECONDS = 0.06  # a few times the overload target
 
 
-def at_limit(front: frontend.Frontend) -> None:
-    """From now on whatever is read has waited too long."""
-    replace_method(front.overload, "should_reject", lambda seconds, now: True)
+def overload_process(gateway_frontend: frontend.Frontend) -> None:
+    """Make the frontend treat all input from now on as having waited too long."""
+    replace_method(gateway_frontend.overload, "should_reject", lambda seconds, now: True)
 
 
 @async_test
-async def test_at_the_limit_reads_are_refused_unread_and_purchases_run_once() -> None:
+async def test_under_overload_reads_are_refused_unparsed_and_purchases_run_once() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        at_limit(proxy.frontend)
+        overload_process(proxy.frontend)
         clients = [await proxy.client() for _ in range(20)]
-        for place, client in enumerate(clients):
-            client.writer.write(request_text("chapter-buy" if place % 4 == 0 else "page-read"))
+        for index, client in enumerate(clients):
+            client.writer.write(request_text("chapter-buy" if index % 4 == 0 else "page-read"))
         answers = [(await client.read_answer()).status for client in clients]
-        assert [status for place, status in enumerate(answers) if place % 4] == [503] * 15
-        served = [status for place, status in enumerate(answers) if place % 4 == 0]
+        assert [status for index, status in enumerate(answers) if index % 4] == [503] * 15
+        served = [status for index, status in enumerate(answers) if index % 4 == 0]
         runs = Counter(request.get(b"x-request-id") for request in host.requests)
         assert set(runs.values()) == {1}
         assert served.count(200) == len(runs)
@@ -75,11 +79,11 @@
 
 
 @async_test
-async def test_a_refused_client_s_connection_ends_and_it_may_come_back() -> None:
+async def test_the_connection_of_a_refused_client_ends_and_it_may_reconnect() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         waited = proxy.frontend.overload.should_reject
-        at_limit(proxy.frontend)
+        overload_process(proxy.frontend)
         answer = await client.fetch()
         assert (answer.status, answer.keep_alive) == (503, False)
         assert await client.read_to_end() == b""
@@ -101,10 +105,10 @@
     ids=lambda value: str(value)[:40],
 )
 @async_test
-async def test_only_what_is_plain_is_refused_unread(text: bytes, statuses: list[int]) -> None:
-    """Where a request's end is not sure without a parser, the parser says."""
+async def test_only_plain_requests_are_refused_unparsed(text: bytes, statuses: list[int]) -> None:
+    """A request whose end is uncertain without the parser is parsed and served."""
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        at_limit(proxy.frontend)
+        overload_process(proxy.frontend)
         client = await proxy.client()
         client.writer.write(text)
         seen = b""
@@ -120,24 +124,25 @@
         await wait_until(lambda: proxy.frontend.connections)
         (connection,) = proxy.frontend.connections
 
-        def late(seconds: float, now: float) -> bool:
-            client.writer.write(request_text("chapter-buy"))  # it comes while the one before it is judged
+        def has_waited_too_long(seconds: float, now: float) -> bool:
+            # Arrives during the decision on the previous request.
+            client.writer.write(request_text("chapter-buy"))
             replace_method(proxy.frontend.overload, "should_reject", lambda seconds, now: False)
             return True
 
-        replace_method(proxy.frontend.overload, "should_reject", late)
+        replace_method(proxy.frontend.overload, "should_reject", has_waited_too_long)
         assert (await client.fetch()).status == 200
         assert (await client.read_answer()).status == 200
         assert not connection._is_input_ignored
 
 
-@pytest.mark.parametrize("advises", [True, False])
+@pytest.mark.parametrize("sends_retry_after", [True, False])
 @async_test
-async def test_advice_is_spread_where_settings_allow_it(advises: bool) -> None:
-    async with running_gateway(settings=replace(SETTINGS, sends_retry_after=advises)) as proxy:
-        at_limit(proxy.frontend)
+async def test_retry_after_is_randomized_if_the_settings_allow_it(sends_retry_after: bool) -> None:
+    async with running_gateway(settings=replace(SETTINGS, sends_retry_after=sends_retry_after)) as proxy:
+        overload_process(proxy.frontend)
         advice = {(await proxy.fetch()).get(b"retry-after") for _ in range(10)}
-        if advises:
+        if sends_retry_after:
             low, high = frontend.RETRY_AFTER_SECONDS
             assert len(advice) > 5
             assert all(low <= float(after or 0) <= high for after in advice)
@@ -146,148 +151,150 @@
 
 
 @async_test
-async def test_a_client_that_left_before_it_was_read_causes_no_work() -> None:
+async def test_a_client_that_left_before_its_request_was_read_causes_no_work() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        gone, stays = await proxy.client(), await proxy.client()
-        for client in (gone, stays):
+        leaving, staying = await proxy.client(), await proxy.client()
+        for client in (leaving, staying):
             assert (await client.fetch()).status == 200
-        gone.writer.write(request_text("chapter-buy"))
-        stays.writer.write(request_text("chapter-buy"))
-        gone.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
-        time.sleep(PAUSE)  # the loop is held up: both requests, and the one's end, wait
-        assert (await stays.read_answer()).status == 200
+        leaving.writer.write(request_text("chapter-buy"))
+        staying.writer.write(request_text("chapter-buy"))
+        leaving.writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
+        time.sleep(LOOP_DELAY_SECONDS)  # the loop is blocked: both requests and the end of one client wait
+        assert (await staying.read_answer()).status == 200
         await wait_until(lambda: len(proxy.frontend.connections) == 1)
         assert len(host.requests) == 3
 
 
 @async_test
-async def test_a_deadline_counts_from_when_the_request_was_here() -> None:
+async def test_a_deadline_counts_from_the_arrival_of_the_request() -> None:
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         await wait_until(lambda: proxy.frontend.connections)
         client.writer.write(request_text(headers={"X-Deadline": "5"}))
-        time.sleep(PAUSE)
+        time.sleep(LOOP_DELAY_SECONDS)
         await wait_until(lambda: host.requests)
-        assert float(host.requests[0].get(b"x-deadline") or 0) <= 5 - 0.9 * PAUSE
+        assert float(host.requests[0].get(b"x-deadline") or 0) <= 5 - 0.9 * LOOP_DELAY_SECONDS
 
 
 @async_test
-async def test_a_request_whose_time_ran_out_unread_reaches_no_host() -> None:
+async def test_a_request_whose_deadline_passed_unread_reaches_no_host() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         await wait_until(lambda: proxy.frontend.connections)
         client.writer.write(request_text("chapter-buy", {"X-Deadline": "0.05"}))
-        time.sleep(PAUSE)
+        time.sleep(LOOP_DELAY_SECONDS)
         assert (await client.read_answer()).status == 503
         assert not host.requests
 
 
 @async_test
-async def test_what_an_answer_waited_here_is_told_apart_from_its_host_s_time() -> None:
+async def test_the_time_that_an_answer_waits_unread_is_separate_from_the_host_s_latency() -> None:
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         events = record_events(proxy)
         client = await proxy.client()
         client.writer.write(request_text())
         await wait_until(lambda: host.requests)
-        await answers_with()(
-            host.requests[0], host.request_writers[0]
-        )  # the answer is on its way, and the loop held up
-        time.sleep(PAUSE)
+        await answers_with()(host.requests[0], host.request_writers[0])  # sent before the loop is blocked
+        time.sleep(LOOP_DELAY_SECONDS)
         assert (await client.read_answer()).status == 200
         (ended,) = [event for event in events if isinstance(event, AttemptEnded)]
-        assert 0.9 * PAUSE * 1e6 <= ended.local_delay <= ended.latency + MS
+        assert 0.9 * LOOP_DELAY_SECONDS * 1e6 <= ended.local_delay <= ended.latency + MS
 
 
 @async_test
-async def test_time_that_the_reply_takes_is_not_the_host_s() -> None:
-    """A process that is put aside as it has written an answer must not hold that against the host."""
+async def test_the_time_to_write_an_answer_does_not_count_as_the_host_s_latency() -> None:
+    """If the process is preempted while it writes an answer, that time must not count against the host."""
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        told: list[tuple[Event, int]] = []
+        handled: list[tuple[Event, int]] = []
         handle = proxy.balancer.handle
 
         def recorded(event: Event, now: int) -> list[Action]:
-            told.append((event, now))
+            handled.append((event, now))
             return handle(event, now)
 
         def slow(answer: object) -> None:
             replied.append(proxy.gateway.clock.now())
-            time.sleep(PAUSE)
+            time.sleep(LOOP_DELAY_SECONDS)
 
         replace_method(proxy.balancer, "handle", recorded)
         replied: list[int] = []
         message = RequestReader().feed(request_text())[0]
         proxy.gateway.submit_request(proxy.frontend.interpreter.interpret(message, 0.0), slow)
         await wait_until(lambda: replied)
-        (_, begun), (ended, at) = told
+        (_, begun), (ended, at) = handled
         assert isinstance(ended, AttemptEnded)
         assert at <= replied[0]
         assert ended.latency <= replied[0] - begun + MS
 
 
 @async_test
-async def test_an_answer_that_is_here_at_the_deadline_is_the_client_s() -> None:
+async def test_an_answer_that_is_here_at_the_deadline_is_delivered() -> None:
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         client.writer.write(request_text("chapter-buy", {"X-Deadline": "0.5"}))
         await wait_until(lambda: host.requests)
-        (held,) = proxy.gateway._pending.values()
+        (pending,) = proxy.gateway._pending.values()
         await answers_with()(host.requests[0], host.request_writers[0])
-        held.lifecycle.deadline = proxy.gateway.clock.now()  # its time is up, and the answer unread
-        proxy.gateway._on_deadline(held)
+        pending.lifecycle.deadline = proxy.gateway.clock.now()  # the deadline passes with the answer unread
+        proxy.gateway._on_deadline(pending)
         assert (await client.read_answer()).status == 200
 
 
 def _limit_after(waited: int) -> tuple[float, float]:
-    """A host's limit, and the share of work admitted, after late answers that lay here so long."""
+    """Return a host's limit and the admitted share after late answers that waited here unread so long."""
     balancer = Balancer(SETTINGS, seed=1)
     balancer.handle(ServerList(Update.FULL, (Server(id=1),)), 0)
     now = 10**9
     for request in range(1, 9):
         now += 300 * MS
         (action, *_) = balancer.handle(Request(request, "page-read", 1000 * MS), now)
-        if not isinstance(action, Send):  # refused: the share that is admitted has fallen
+        if not isinstance(action, Send):  # refused, as the admitted share has fallen
             continue
         now += 390 * MS
         balancer.handle(AttemptEnded(request, 0, 1, Outcome.OK, 390 * MS, True, None, waited), now)
     return balancer._hosts[1].limit, balancer._shedder.admitted_share
 
 
-def test_a_host_is_blamed_for_its_own_time_alone() -> None:
-    well, slow = _limit_after(380 * MS), _limit_after(0)
-    assert slow[0] < well[0]
-    assert slow[1] < 1.0
-    assert well[1] == 1.0
+def test_only_a_host_s_own_latency_lowers_its_limit() -> None:
+    late_loop, slow_host = _limit_after(380 * MS), _limit_after(0)
+    assert slow_host[0] < late_loop[0]
+    assert slow_host[1] < 1.0
+    assert late_loop[1] == 1.0
 
 
 def test_clients_that_are_here_go_before_a_crowd_that_wants_to_connect() -> None:
-    """At the limit, with a door for the loop's selector, as the program has it."""
-    door = PrioritySelector(OverloadControl([0.4]))
-    door.overload.is_overloaded = True
-    replace_method(door.overload, "advance", lambda now: None)
+    """Under overload, in a loop with the `PrioritySelector`, as in the real program."""
+    selector = PrioritySelector(OverloadControl([0.4]))
+    selector.overload.is_overloaded = True
+    replace_method(selector.overload, "advance", lambda now: None)
 
     async def test() -> None:
         async with (
             scripted_servers(never_answers, never_answers) as hosts,
-            running_gateway(*(h.member() for h in hosts), selector=door) as proxy,
+            running_gateway(*(h.member() for h in hosts), selector=selector) as proxy,
         ):
-            kept = [await proxy.client() for _ in range(8)]
-            await wait_until(lambda: len(proxy.frontend.connections) == len(kept))
-            crowd = []
-            for _ in range(30):  # with those kept still under half of the limit
-                crowd.append(socket.create_connection(("127.0.0.1", proxy.port)))
-                crowd[-1].sendall(request_text())
-            for client in kept:
+            established_clients = [await proxy.client() for _ in range(8)]
+            await wait_until(lambda: len(proxy.frontend.connections) == len(established_clients))
+            new_connections = []
+            for _ in range(30):  # all together below half of the connection limit
+                new_connections.append(socket.create_connection(("127.0.0.1", proxy.port)))
+                new_connections[-1].sendall(request_text())
+            for client in established_clients:
                 client.writer.write(request_text("chapter-buy"))
-            await wait_until(lambda: proxy.gateway.unanswered_count >= len(kept))
-            first = [held.message.method for held in proxy.gateway._pending.values()][: len(kept)]
-            assert first == [b"POST"] * len(kept)
-            await wait_until(lambda: len(proxy.frontend.connections) == len(kept) + len(crowd))
-            for endpoint in crowd:
+            await wait_until(lambda: proxy.gateway.unanswered_count >= len(established_clients))
+            first_methods = [pending.message.method for pending in proxy.gateway._pending.values()][
+                : len(established_clients)
+            ]
+            assert first_methods == [b"POST"] * len(established_clients)
+            await wait_until(
+                lambda: len(proxy.frontend.connections) == len(established_clients) + len(new_connections)
+            )
+            for endpoint in new_connections:
                 endpoint.close()
-            for client in kept:
+            for client in established_clients:
                 client.close()
 
-    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(door)) as runner:
+    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
         runner.run(asyncio.wait_for(test(), 2 * TEST_TIMEOUT_SECONDS))
 
 
@@ -298,22 +305,22 @@
 
 
 async def _start(host: ScriptedServer, folder: Path) -> tuple[subprocess.Popen[bytes], int]:
-    """The real program with this host on the list that it last knew; nobody answers as its discovery."""
+    """Start the real program with this host on its last known list; its discovery does not answer."""
     port = _free_port()
     classes = [
         {"name": "page-read", "effect": "idempotent", "giveUp": 15_000_000, "onTime": 400_000, "worth": 3.0},
         {"name": "chapter-buy", "effect": "at_most_once", "giveUp": 15_000_000, "onTime": 400_000},
     ]
-    config = folder / "config.json"
-    told = {
+    config_file = folder / "config.json"
+    config = {
         "listen": f"127.0.0.1:{port}",
         "discovery": f"127.0.0.1:{_free_port()}",
         "seed": "1",
         "known": {"revision": 1, "complete": True, "members": [host.discovery_entry()]},
         "settings": {"classes": classes, "permissions": {"maxAttempts": 5, "cancelling": True}},
     }
-    config.write_text(json.dumps(told))
-    environment = {**os.environ, "PROXY_CONFIG": str(config)}
+    config_file.write_text(json.dumps(config))
+    environment = {**os.environ, "PROXY_CONFIG": str(config_file)}
     process = subprocess.Popen([sys.executable, "-m", "whinrouter"], env=environment)
     due = time.monotonic() + TEST_TIMEOUT_SECONDS
     while True:
@@ -326,8 +333,8 @@
 
 
 @async_test
-async def test_a_core_taken_away_for_a_while_costs_what_it_must_and_no_more(tmp_path: Path) -> None:
-    """SIGSTOP holds up the real program; then each request has one answer, and nothing old runs."""
+async def test_requests_during_a_suspension_of_the_process_are_answered_once(tmp_path: Path) -> None:
+    """The real program is suspended with SIGSTOP: each request gets one answer, and no expired one runs."""
     async with scripted_servers(answers_with()) as (host,):
         process, port = await _start(host, tmp_path)
         try:
@@ -336,16 +343,16 @@
                 assert (await client.fetch()).status == 200
             host.requests.clear()
             process.send_signal(signal.SIGSTOP)
-            for place, client in enumerate(clients):
-                kind = "chapter-buy" if place % 2 else "page-read"
-                client.writer.write(request_text(kind, {"X-Deadline": "0.3" if place < 8 else "14"}))
-            late = await Client.connect(port)  # it waits to be accepted
-            late.writer.write(request_text(headers={"X-Deadline": "0.3"}))
+            for index, client in enumerate(clients):
+                kind = "chapter-buy" if index % 2 else "page-read"
+                client.writer.write(request_text(kind, {"X-Deadline": "0.3" if index < 8 else "14"}))
+            late_client = await Client.connect(port)  # waits in the backlog
+            late_client.writer.write(request_text(headers={"X-Deadline": "0.3"}))
             await asyncio.sleep(1.0)
             process.send_signal(signal.SIGCONT)
             answers = [(await client.read_answer()).status for client in clients]
             assert answers == [503] * 8 + [200] * 4
-            assert (await late.read_answer()).status == 503
+            assert (await late_client.read_answer()).status == 503
             assert len(host.requests) == 4
             assert (await clients[0].fetch()).status == 200
         finally:
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -1,7 +1,8 @@
-"""A client leaves while its request waits here: no host hears of it any more.
+"""A client leaves while its request waits in the gateway: no host receives the request any more.
 
-In each place where a request can wait the bad order is made: the client's end is in its socket, and the loop
-gets to what the request waited for before, or without, being told of it.
+A request can wait in several places. Each test produces the unfavourable order there: the client's end of
+the connection has reached the gateway's socket, but the loop handles what the request waited for first, or
+does not notice the end at all.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class RawClient:
-    """A client whose calls take effect without a turn of the loop."""
+    """A client whose calls take effect without a turn of the event loop."""
 
     def __init__(self, port: int, room: int = 0) -> None:
         self._socket = socket.socket()
@@ -50,21 +51,21 @@
     def send(self, data: bytes) -> int:
         return self._socket.send(data)
 
-    def leave(self, how: str) -> None:
-        if how == "reset":
+    def leave(self, ending: str) -> None:
+        if ending == "reset":
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self._socket.close()
 
-    def say_no_more(self) -> None:
-        """It has left as far as anybody can tell, though it reads on."""
+    def shut_down_writing(self) -> None:
+        """Close the sending side only: the gateway sees a client that has left, though it still reads."""
         self._socket.shutdown(socket.SHUT_WR)
 
-    async def read(self, most: int = 1 << 20) -> bytes:
-        return await asyncio.get_running_loop().sock_recv(self._socket, most)
+    async def read(self, max_bytes: int = 1 << 20) -> bytes:
+        return await asyncio.get_running_loop().sock_recv(self._socket, max_bytes)
 
 
 class RawHost:
-    """A host that answers when a test says so, without a turn of the loop."""
+    """A host that answers when a test tells it to, without a turn of the event loop."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -88,27 +89,27 @@
             self._connection.close()
 
 
-def _until_here(proxy: RunningGateway) -> None:
-    """Wait, without a turn of the loop, until the one client's end is in its socket here."""
+def _wait_for_client_end(proxy: RunningGateway) -> None:
+    """Wait, without a turn of the event loop, until the end of the only client is in its socket here."""
     (client,) = proxy.frontend.connections
     assert client._transport is not None
     while not has_peer_closed(client._transport):
         pass
 
 
-def _before_up(proxy: RunningGateway, act: Callable[[], None]) -> None:
-    """A connection to a host has come up; in the turn that tells of it other things come first."""
+def _before_connected(proxy: RunningGateway, act: Callable[[], None]) -> None:
+    """Call `act` when a connection to a host has been set up, just before the gateway handles that."""
     up = proxy.upstream._on_connected
 
-    def late(*args: Any) -> None:
+    def delayed(*args: Any) -> None:
         act()
         up(*args)
 
-    replace_method(proxy.upstream, "_on_connected", late)
+    replace_method(proxy.upstream, "_on_connected", delayed)
 
 
-async def _quiet(proxy: RunningGateway) -> None:
-    """All that was taken is over, and all that it held is given back."""
+async def _all_released(proxy: RunningGateway) -> None:
+    """Wait until all requests are over, and check that everything they held is released."""
     await wait_until(lambda: not proxy.frontend.connections)
     await wait_until(lambda: not proxy.gateway._pending and not proxy.upstream._connecting)
     assert not proxy.frontend.active_request_ids
@@ -119,49 +120,49 @@
     assert all(not host.in_flight for host in proxy.balancer._hosts.values())
 
 
-def _all_answered(proxy: RunningGateway, host: ScriptedServer, asked: int) -> bool:
-    return len(host.requests) == asked and not proxy.gateway.unanswered_count
+def _all_answered(proxy: RunningGateway, host: ScriptedServer, sent_requests: int) -> bool:
+    return len(host.requests) == sent_requests and not proxy.gateway.unanswered_count
 
 
-async def _serves_on(proxy: RunningGateway) -> None:
+async def _still_serves(proxy: RunningGateway) -> None:
     assert (await proxy.fetch()).status == 200
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
+@pytest.mark.parametrize("ending", ["end", "reset"])
 @pytest.mark.parametrize("kind", ["page-read", "chapter-buy"])
 @async_test
-async def test_while_its_connection_to_a_host_comes_up(how: str, kind: str) -> None:
+async def test_a_client_leaves_while_the_connection_to_a_host_is_set_up(ending: str, kind: str) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         clients: list[RawClient] = []
 
         def leaves() -> None:
             if clients:
-                clients.pop().leave(how)
-                _until_here(proxy)
+                clients.pop().leave(ending)
+                _wait_for_client_end(proxy)
 
-        _before_up(proxy, leaves)
+        _before_connected(proxy, leaves)
         clients.append(RawClient(proxy.port))
         clients[0].send(request_text(kind))
-        await _quiet_after(proxy, clients)
+        await _all_released_after(proxy, clients)
         assert not host.requests
-        await _serves_on(proxy)
+        await _still_serves(proxy)
 
 
-async def _quiet_after(proxy: RunningGateway, clients: list[RawClient]) -> None:
+async def _all_released_after(proxy: RunningGateway, clients: list[RawClient]) -> None:
     await wait_until(lambda: not clients)
-    await _quiet(proxy)
+    await _all_released(proxy)
 
 
-TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-BROKEN = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
+REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+SERVER_ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+SUCCESS = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize(("kind", "answer"), [("page-read", BROKEN), ("chapter-buy", TURNED_AWAY)])
+@pytest.mark.parametrize("ending", ["end", "reset"])
+@pytest.mark.parametrize(("kind", "answer"), [("page-read", SERVER_ERROR), ("chapter-buy", REFUSED)])
 @async_test
-async def test_before_a_repeat(how: str, kind: str, answer: bytes) -> None:
-    """The host's answer, which makes for a repeat, and the client's end are told in one turn."""
+async def test_a_client_leaves_before_a_retry(ending: str, kind: str, answer: bytes) -> None:
+    """The host's answer, which causes a retry, and the client's end are reported in the same turn."""
     raw = RawHost()
     async with scripted_servers(answers_with()) as (other,), running_gateway(raw.member) as proxy:
         client = RawClient(proxy.port)
@@ -169,173 +170,178 @@
         await raw.request()
         proxy.gateway.update_hosts(make_host_list(raw.member, other.member()))
         raw.answer(answer)
-        client.leave(how)
-        _until_here(proxy)
-        await _quiet(proxy)
+        client.leave(ending)
+        _wait_for_client_end(proxy)
+        await _all_released(proxy)
         assert not other.requests
         await wait_until(lambda: other.connections == 0)
         proxy.gateway.update_hosts(make_host_list(other.member()))
-        await _serves_on(proxy)
+        await _still_serves(proxy)
     raw.close()
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
+@pytest.mark.parametrize("ending", ["end", "reset"])
 @async_test
-async def test_behind_another_request_on_its_connection(how: str) -> None:
-    """The first one's answer and the client's end are told in one turn."""
+async def test_a_client_leaves_while_its_request_is_queued_behind_another(ending: str) -> None:
+    """The answer to the first request and the client's end are reported in the same turn."""
     raw = RawHost()
     async with running_gateway(raw.member) as proxy:
         client = RawClient(proxy.port)
         client.send(request_text() + request_text("chapter-buy"))
         await raw.request()
-        raw.answer(PAGE)
-        client.leave(how)
-        _until_here(proxy)
-        await _quiet(proxy)
-        assert proxy.gateway._last_request_id == 1, "the second was taken"
+        raw.answer(SUCCESS)
+        client.leave(ending)
+        _wait_for_client_end(proxy)
+        await _all_released(proxy)
+        assert proxy.gateway._last_request_id == 1, "the second request was accepted"
     raw.close()
 
 
 @async_test
-async def test_with_bytes_of_an_earlier_answer_unread() -> None:
-    """The room that these leave as they are read in the end begins nothing."""
+async def test_a_client_leaves_with_bytes_of_an_earlier_answer_unread() -> None:
+    """The room in the output buffer, once the client reads these bytes, must not start a queued request."""
     async with (
         scripted_servers(answers_with(body=bytes(60_000))) as (host,),
         running_gateway(host.member()) as proxy,
     ):
         client = RawClient(proxy.port, room=4096)
-        asked = 0
-        while not any(one._is_writing_paused for one in proxy.frontend.connections):
+        sent_requests = 0
+        while not any(connection._is_writing_paused for connection in proxy.frontend.connections):
             client.send(request_text())
-            asked += 1
-            await wait_until(functools.partial(_all_answered, proxy, host, asked))
+            sent_requests += 1
+            await wait_until(functools.partial(_all_answered, proxy, host, sent_requests))
         client.send(request_text() + request_text("chapter-buy"))
-        await wait_until(lambda: any(len(one._queued_requests) == 2 for one in proxy.frontend.connections))
-        client.say_no_more()
+        await wait_until(
+            lambda: any(len(connection._queued_requests) == 2 for connection in proxy.frontend.connections)
+        )
+        client.shut_down_writing()
         while await client.read():
             pass
-        await _quiet(proxy)
-        assert len(host.requests) == asked
-        await _serves_on(proxy)
+        await _all_released(proxy)
+        assert len(host.requests) == sent_requests
+        await _still_serves(proxy)
 
 
 @async_test
-async def test_the_last_part_of_a_long_answer_is_not_cut_off_as_its_connection_is_idle() -> None:
-    """All of it has come from the host; its slow reader takes the rest after the time to be idle is over."""
+async def test_the_end_of_a_long_answer_is_not_cut_off_by_the_idle_timeout() -> None:
+    """The host has sent all of it; the slow client reads the rest after the idle timeout has passed."""
     async with (
         scripted_servers(answers_with(body=bytes(300_000))) as (host,),
         running_gateway(host.member()) as proxy,
     ):
         client = RawClient(proxy.port, room=4096)
         await wait_until(lambda: proxy.frontend.connections)
-        (one,) = proxy.frontend.connections
-        assert one._transport is not None
-        one._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        got, owed, asked = 0, False, 0
-        while not owed and asked < 50:  # the host's last piece may be so small that nothing of it stays here
-            one._had_streamed_answer = False
+        (connection,) = proxy.frontend.connections
+        assert connection._transport is not None
+        connection._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        received, has_unsent_bytes, sent_requests = 0, False, 0
+        # The host's last piece may be too small to leave unsent bytes.
+        while not has_unsent_bytes and sent_requests < 50:
+            connection._had_streamed_answer = False
             client.send(request_text())
-            asked += 1
-            while not one._had_streamed_answer:
-                got += len(await client.read(4096))
-            owed = one.unsent_bytes > 0
-            while not owed and got < asked * 300_000:
-                got += len(await client.read())
-        assert owed
-        one.wait_deadline = asyncio.get_running_loop().time()
+            sent_requests += 1
+            while not connection._had_streamed_answer:
+                received += len(await client.read(4096))
+            has_unsent_bytes = connection.unsent_bytes > 0
+            while not has_unsent_bytes and received < sent_requests * 300_000:
+                received += len(await client.read())
+        assert has_unsent_bytes
+        connection.wait_deadline = asyncio.get_running_loop().time()
         proxy.frontend._sweep()
-        while got < asked * 300_000:
+        while received < sent_requests * 300_000:
             data = await client.read()
-            assert data, "it is cut off"
-            got += len(data)
+            assert data, "the answer is cut off"
+            received += len(data)
         client.leave("end")
-        await _quiet(proxy)
+        await _all_released(proxy)
 
 
-def _no_connection(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
-    """No connection to a host comes up before this is set."""
-    gate = asyncio.Event()
+def _block_host_connections(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
+    """Return an event; no connection to a host is set up before it is set."""
+    may_connect = asyncio.Event()
 
-    async def late(*args: Any) -> None:
-        await gate.wait()
+    async def delayed(*args: Any) -> None:
+        await may_connect.wait()
         await connect(*args)
 
     skip_if_compiled(upstream)
-    monkeypatch.setattr(upstream, "connect", late)
-    return gate
+    monkeypatch.setattr(upstream, "connect", delayed)
+    return may_connect
 
 
-async def _half_here(proxy: RunningGateway) -> RawClient:
-    """A client whose body has begun to come, and is not read any further for now."""
+async def _partly_received_upload(proxy: RunningGateway) -> RawClient:
+    """Return a client whose body is partly received; the gateway has paused reading it."""
     client = RawClient(proxy.port)
     text = request_text("chapter-buy", body=bytes(400_000))
     sent = 0
     while not any(
-        one._incoming_flow is not None and one._incoming_flow._is_paused for one in proxy.frontend.connections
+        connection._incoming_flow is not None and connection._incoming_flow._is_paused
+        for connection in proxy.frontend.connections
     ):
         with contextlib.suppress(BlockingIOError):
             sent += client.send(text[sent : sent + 10_000])
-        assert sent < len(text) - 100_000, "all of it is read"
+        assert sent < len(text) - 100_000, "reading is not paused"
         await asyncio.sleep(0.001)
     return client
 
 
 @asynccontextmanager
-async def _left_half_here(
-    how: str, monkeypatch: pytest.MonkeyPatch
+async def _abandoned_upload(
+    ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> AsyncIterator[tuple[ScriptedServer, RunningGateway, asyncio.Event]]:
-    """Such a client has left, and no connection to the host comes up before the event is set."""
-    gate = _no_connection(monkeypatch)
+    """Let such a client leave; no connection to the host is set up before the event is set."""
+    may_connect = _block_host_connections(monkeypatch)
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        client = await _half_here(proxy)
-        client.leave(how)
-        _until_here(proxy)
-        yield host, proxy, gate
+        client = await _partly_received_upload(proxy)
+        client.leave(ending)
+        _wait_for_client_end(proxy)
+        yield host, proxy, may_connect
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
+@pytest.mark.parametrize("ending", ["end", "reset"])
 @async_test
-async def test_the_sweep_goes_on_behind_a_client_that_left_unread(
-    how: str, monkeypatch: pytest.MonkeyPatch
+async def test_the_sweep_survives_a_client_that_left_unnoticed(
+    ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It moves nothing any more, and to end its connection in order fails, as that is gone."""
-    async with _left_half_here(how, monkeypatch) as (host, proxy, gate):
-        (one,) = proxy.frontend.connections
-        assert one._incoming_flow is not None
-        one._incoming_flow._rate_floor.due = 0.0
-        await wait_until(lambda: not proxy.frontend.connections)  # two sweeps: its answer lingers
-        gate.set()
-        await _quiet(proxy)
+    """Its body is stalled, and an orderly end of the connection fails, as the connection is gone."""
+    async with _abandoned_upload(ending, monkeypatch) as (host, proxy, may_connect):
+        (connection,) = proxy.frontend.connections
+        assert connection._incoming_flow is not None
+        connection._incoming_flow._rate_floor.due = 0.0
+        # Takes two sweeps, as the connection lingers behind its answer.
+        await wait_until(lambda: not proxy.frontend.connections)
+        may_connect.set()
+        await _all_released(proxy)
         assert not host.received_bytes
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
+@pytest.mark.parametrize("ending", ["end", "reset"])
 @async_test
-async def test_with_its_body_half_here_and_nothing_read_for_now(
-    how: str, monkeypatch: pytest.MonkeyPatch
+async def test_a_client_leaves_during_an_upload_while_reading_is_paused(
+    ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What was read waits for a connection to a host, and no more is: nobody is told of the client's end."""
-    async with _left_half_here(how, monkeypatch) as (host, proxy, gate):
-        gate.set()
-        await _quiet(proxy)
+    """The input waits for a connection to a host while reading is paused: the client's end goes unnoticed."""
+    async with _abandoned_upload(ending, monkeypatch) as (host, proxy, may_connect):
+        may_connect.set()
+        await _all_released(proxy)
         await wait_until(lambda: host.closed_connections == host.connections)
         assert not host.received_bytes
-        await _serves_on(proxy)
+        await _still_serves(proxy)
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
+@pytest.mark.parametrize("ending", ["end", "reset"])
 @async_test
-async def test_before_it_was_read(how: str) -> None:
-    """It asked and left while the loop was busy: the whole request is read first, and its end behind."""
+async def test_a_client_leaves_before_its_request_is_read(ending: str) -> None:
+    """The client asked and left while the loop was busy: its request is read before its end."""
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = RawClient(proxy.port)
         await wait_until(lambda: proxy.frontend.connections)
         client.send(request_text("chapter-buy"))
-        client.leave(how)
-        _until_here(proxy)
-        until_ = asyncio.get_running_loop().time() + 0.1
-        while asyncio.get_running_loop().time() < until_:  # the loop is busy with something else
+        client.leave(ending)
+        _wait_for_client_end(proxy)
+        deadline = asyncio.get_running_loop().time() + 0.1
+        while asyncio.get_running_loop().time() < deadline:  # the loop is busy with something else
             pass
-        await _quiet(proxy)
+        await _all_released(proxy)
         assert not host.requests
-        await _serves_on(proxy)
+        await _still_serves(proxy)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,7 +1,7 @@
-"""The program at one, two and four times what it can do, on real sockets, with a quarter of a core.
+"""The program at up to four times the load that it can serve, on real sockets and a quarter of a core.
 
-No figure is asserted, as machines differ; the rules are: each request has one answer, no purchase runs twice,
-and the load over, it serves as before.
+Machines differ, so no figure is asserted, but the rules are: each request gets one answer, no purchase runs
+twice, and requests are served again after the load.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
     scripted_servers,
 )
 
-LOAD_SECONDS = 1.5  # of load
-BUSY_PROCESSES = 3  # that compute on the gateway's core
-CLIENT_COUNTS = (16, 100, 300)  # clients that ask again as soon as they are answered
+LOAD_SECONDS = 1.5
+BUSY_PROCESSES = 3  # that compete for the gateway's core
+CLIENT_COUNTS = (16, 100, 300)  # each client sends its next request as soon as it has an answer
 
 CLASSES = [
     {"name": "page-read", "effect": "idempotent", "giveUp": 1_500_000, "onTime": 400_000, "worth": 3.0},
@@ -41,7 +41,7 @@
 
 @contextmanager
 def program_on_a_busy_core(folder: Path, host: ScriptedServer) -> Iterator[int]:
-    """The program on one core with others that compute; its port."""
+    """Run the program on one core together with busy processes; yield its port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
@@ -49,7 +49,8 @@
         "listen": f"127.0.0.1:{port}",
         "discovery": "127.0.0.1:1",
         "seed": "1",
-        "limits": {"sockets": 4096},  # nobody makes room: what crosses a close may be asked again
+        # Enough that no connection is closed to make room: a request that crosses a close may be sent again.
+        "limits": {"sockets": 4096},
         "known": {"revision": 1, "complete": True, "members": [host.discovery_entry()]},
         "settings": {"classes": CLASSES, "permissions": {"maxAttempts": 3, "cancelling": True}},
     }
@@ -79,7 +80,7 @@
 
 
 async def send_requests(port: int, is_purchase: bool, until: float, answers: Counter[int]) -> None:
-    """Ask one after the other; a connection that ends without an answer to what was asked is a fault."""
+    """Send requests one after another; a connection that ends without an owed answer is a fault."""
     loop = asyncio.get_running_loop()
     client = await connect(port)
     while loop.time() < until:
@@ -88,7 +89,7 @@
         answer = await client.read_answer()
         answers[answer.status] += 1
         if not answer.keep_alive:
-            assert await client.read_to_end() == b""  # nothing more
+            assert await client.read_to_end() == b""
             client.close()
             client = await connect(port)
     client.close()
@@ -112,6 +113,6 @@
                 request.get(b"x-request-id") for request in host.requests if request.method == b"POST"
             )
             assert set(runs.values()) <= {1}
-            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):  # the load is over
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):  # after the load
                 while (await (await connect(port)).fetch()).status != 200:
                     await asyncio.sleep(0.05)
--- a/tests/test_pooled_limits.py
+++ b/tests/test_pooled_limits.py
@@ -1,4 +1,4 @@
-"""Many balancers before few servers: each one's limits count as a pool."""
+"""Many balancers and few servers: the limits of each balancer count as a pool."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def burst_at_servers_that_overload(seed: int) -> Fleet:
-    """Twelve servers, a third of them cold, that three requests a core for a second overdrive."""
+    """Twelve servers, a third of them cold, that three requests per core overload within a second."""
     fleet = Fleet(
         make_machines(12, (2,), (1.0, 0.6), overload_threshold=3.0), (STOCK, PLACE), 32, 0.7, zones="ab",
         retries=2, seed=seed,
@@ -57,7 +57,7 @@
 
 
 def test_a_burst_overloads_few_servers() -> None:
-    """Limits that doubled with each answer let a burst overdrive half of them, for the rest of the day."""
+    """Limits that doubled with each answer let a burst overload half of the servers for the whole day."""
     fleets = [burst_at_servers_that_overload(seed) for seed in range(1, 5)]
     for fleet in fleets:
         fleet.run(16 * SECOND)
@@ -68,15 +68,15 @@
 
 
 def _zones_used(limit: float) -> list[str]:
-    """Where forty balancers' requests go, of one whose servers have such limits; zones cost to cross."""
+    """Return the zones of the requests of one of forty balancers, with this limit at each server."""
     settings = Settings(CLASSES, zone="a", balancers=40, cross_zone_price=0.03)
     balancer = Balancer(settings, seed=1)
-    listed = servers(24)  # half of them are its own, half of these in its zone
+    listed = servers(24)  # half of them are in its subset, and half of these in its zone
     balancer.handle(ServerList(Update.FULL, listed), SECOND)
     zones: dict[ServerId, str] = {server.id: server.zone for server in listed}
     for host in balancer._hosts.values():
         host.limit = limit
-    balancer._total_limit = 100.0  # the pool as a whole has room
+    balancer._total_limit = 100.0  # the pool of all servers has spare capacity
     used: list[str] = []
     for number in range(1, 20):
         actions = balancer.handle(Request(number, READ.name, 400 * MS), SECOND)
@@ -84,12 +84,12 @@
     return used
 
 
-def test_requests_stay_in_the_zone_while_its_pool_has_room() -> None:
+def test_requests_stay_in_the_zone_while_its_pool_has_spare_capacity() -> None:
     assert set(_zones_used(10.0)) == {"a"}
 
 
 def test_requests_cross_zones_once_the_pool_of_the_zone_is_half_full() -> None:
-    """A server with none in flight from here looked idle, however many the other balancers had there."""
-    used = _zones_used(0.2)  # 1.2 for the six servers of the zone
+    """A server without requests from this balancer looked idle, whatever the others had sent there."""
+    used = _zones_used(0.2)  # the pool of the six servers of the zone is 1.2
     assert used[0] == "a"
     assert "b" in used[1:4]
--- a/tests/test_priority_selector.py
+++ b/tests/test_priority_selector.py
@@ -1,4 +1,4 @@
-"""The order in which the loop is told of its sockets, with real ones."""
+"""The selector's order of events and its bound on waiting times, on real sockets."""
 
 from __future__ import annotations
 
@@ -14,151 +14,151 @@
 from whinrouter.overload_control import READS_PER_TURN, OverloadControl
 
 
-class Sockets:
-    """A door with ready sockets of each kind."""
+class ReadySockets:
+    """A selector with ready sockets of each kind."""
 
     def __init__(self, stack: ExitStack, clients: int) -> None:
-        self.own = OverloadControl([0.4])
-        self.door = PrioritySelector(self.own)
-        stack.callback(self.door.close)
+        self.overload = OverloadControl([0.4])
+        self.selector = PrioritySelector(self.overload)
+        stack.callback(self.selector.close)
         self.listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         self.clients = [self._ready(stack) for _ in range(clients)]
-        self.door.client_descriptors.update(client.fileno() for client in self.clients)
+        self.selector.client_descriptors.update(client.fileno() for client in self.clients)
         self.host = self._ready(stack)
         stack.enter_context(socket.create_connection(self.listener.getsockname()))
-        self.door.register(self.listener, selectors.EVENT_READ)
-        self.door.listener_descriptors.add(self.listener.fileno())
+        self.selector.register(self.listener, selectors.EVENT_READ)
+        self.selector.listener_descriptors.add(self.listener.fileno())
 
     def _ready(self, stack: ExitStack) -> socket.socket:
-        here, there = socket.socketpair()
-        stack.enter_context(here)
-        stack.enter_context(there).send(b"x")
-        self.door.register(here, selectors.EVENT_READ)
-        return here
+        local, remote = socket.socketpair()
+        stack.enter_context(local)
+        stack.enter_context(remote).send(b"x")
+        self.selector.register(local, selectors.EVENT_READ)
+        return local
 
-    def at_limit(self) -> None:
+    def overload_process(self) -> None:
         now = time.monotonic()
-        self.own.should_reject(1.0, now - 0.2)
-        self.own.should_reject(1.0, now)
-        assert self.own.is_overloaded
+        self.overload.should_reject(1.0, now - 0.2)
+        self.overload.should_reject(1.0, now)
+        assert self.overload.is_overloaded
 
-    def told(self) -> list[socket.socket]:
-        return [key.fileobj for key, _ in self.door.select(0)]  # type: ignore[misc]
+    def poll(self) -> list[socket.socket]:
+        return [key.fileobj for key, _ in self.selector.select(0)]  # type: ignore[misc]
 
 
 @pytest.fixture
 def stack() -> Iterator[ExitStack]:
-    with ExitStack() as here:
-        yield here
+    with ExitStack() as exit_stack:
+        yield exit_stack
 
 
-def test_answers_come_before_requests_and_these_before_connections(stack: ExitStack) -> None:
-    here = Sockets(stack, clients=40)
-    assert here.told() == [here.host, *here.clients, here.listener]
+def test_the_order_is_host_answers_client_reads_new_connections(stack: ExitStack) -> None:
+    sockets = ReadySockets(stack, clients=40)
+    assert sockets.poll() == [sockets.host, *sockets.clients, sockets.listener]
 
 
-def test_at_the_limit_few_clients_are_told_and_the_others_in_their_turn(stack: ExitStack) -> None:
-    here = Sockets(stack, clients=3 * READS_PER_TURN)
-    here.at_limit()
+def test_under_overload_few_clients_are_read_a_turn_in_order(stack: ExitStack) -> None:
+    sockets = ReadySockets(stack, clients=3 * READS_PER_TURN)
+    sockets.overload_process()
     seen: list[socket.socket] = []
     for _ in range(3):
-        here.at_limit()
-        told = [one for one in here.told() if one in here.clients]
-        assert len(told) == READS_PER_TURN
-        for client in told:
+        sockets.overload_process()
+        polled = [ready for ready in sockets.poll() if ready in sockets.clients]
+        assert len(polled) == READS_PER_TURN
+        for client in polled:
             client.recv(1)
-        seen += told
-    assert seen == here.clients
-
-
-def test_at_the_limit_connections_wait_while_there_is_other_work(stack: ExitStack) -> None:
-    here = Sockets(stack, clients=2)
-    here.at_limit()
-    assert here.listener in here.told()
-    here.at_limit()
-    assert here.own.may_accept(time.monotonic() + 1)  # they were accepted just now
-    assert here.listener not in here.told()
-    here.host.recv(1)
-    for client in here.clients:
+        seen += polled
+    assert seen == sockets.clients
+
+
+def test_under_overload_accepts_are_delayed_while_there_is_other_work(stack: ExitStack) -> None:
+    sockets = ReadySockets(stack, clients=2)
+    sockets.overload_process()
+    assert sockets.listener in sockets.poll()
+    sockets.overload_process()
+    assert sockets.overload.may_accept(time.monotonic() + 1)  # the last accept was just now
+    assert sockets.listener not in sockets.poll()
+    sockets.host.recv(1)
+    for client in sockets.clients:
         client.recv(1)
-    assert here.told() == [here.listener]  # with nothing else to do, to wait would be to spin
+    assert sockets.poll() == [sockets.listener]  # with no other work, leaving the event out would spin
 
 
-class Line:
-    """A connection that a door looks at, with an age that the system counts."""
+class Connection:
+    """An accepted TCP connection that is registered with a selector."""
 
-    def __init__(self, stack: ExitStack, door: PrioritySelector) -> None:
+    def __init__(self, stack: ExitStack, selector: PrioritySelector) -> None:
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
-        self.there = stack.enter_context(socket.create_connection(listener.getsockname()))
-        self.here = stack.enter_context(listener.accept()[0])
-        door.register(self.here, selectors.EVENT_READ)
+        self.remote = stack.enter_context(socket.create_connection(listener.getsockname()))
+        self.local = stack.enter_context(listener.accept()[0])
+        selector.register(self.local, selectors.EVENT_READ)
 
     def get_extra_info(self, name: str) -> socket.socket:
         assert name == "socket"
-        return self.here
+        return self.local
 
 
-def _lay(door: PrioritySelector, line: Line, is_first_read: bool = False) -> float:
-    return door.unread_seconds(line, is_first_read)  # type: ignore[arg-type]
+def _unread_seconds(selector: PrioritySelector, connection: Connection, is_first_read: bool = False) -> float:
+    return selector.unread_seconds(connection, is_first_read)  # type: ignore[arg-type]
 
 
-WAIT = 0.1
+WAIT_SECONDS = 0.1
 
 
-def test_what_waited_here_between_two_looks_is_known(stack: ExitStack) -> None:
-    door = PrioritySelector(OverloadControl([0.4]))
-    stack.callback(door.close)
-    line = Line(stack, door)
-    assert door.select(0) == []
-    line.there.send(b"x")
-    time.sleep(WAIT)
-    assert len(door.select(0)) == 1
-    assert _lay(door, line) >= WAIT / 2
+def test_the_waiting_time_between_two_polls_is_reported(stack: ExitStack) -> None:
+    selector = PrioritySelector(OverloadControl([0.4]))
+    stack.callback(selector.close)
+    connection = Connection(stack, selector)
+    assert selector.select(0) == []
+    connection.remote.send(b"x")
+    time.sleep(WAIT_SECONDS)
+    assert len(selector.select(0)) == 1
+    assert _unread_seconds(selector, connection) >= WAIT_SECONDS / 2
 
 
-def test_what_was_not_here_at_the_last_look_has_not_waited_longer(
+def test_input_has_not_waited_for_longer_than_since_the_last_poll(
     stack: ExitStack, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A process whose clock goes at a hundredth of the system's, as one that is run in step with others."""
+    """The clock of a process that runs in lockstep with others may run a hundred times too slowly."""
     monotonic = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: monotonic() / 100)
-    door = PrioritySelector(OverloadControl([0.4]))
-    stack.callback(door.close)
-    line = Line(stack, door)
+    selector = PrioritySelector(OverloadControl([0.4]))
+    stack.callback(selector.close)
+    connection = Connection(stack, selector)
     for _ in range(10):
-        assert door.select(0) == []
-    line.there.send(b"x")
-    time.sleep(WAIT)
-    assert len(door.select(0)) == 1
-    assert _lay(door, line) == 0.0
-    assert _lay(door, line, is_first_read=True) == 0.0
-
-
-def test_a_look_that_holds_something_back_does_not_tell_how_long_it_waits(stack: ExitStack) -> None:
-    here = Sockets(stack, clients=2 * READS_PER_TURN)
-    line = Line(stack, here.door)
-    here.door.client_descriptors.add(line.here.fileno())
-    here.told()
-    line.there.send(b"x")
-    time.sleep(4 * WAIT)  # so that intervals in which requests waited have passed
-    here.at_limit()
-    for _ in range(4):  # the others come first
-        assert line.here not in here.told()
-    here.own.is_overloaded = False
-    here.told()
-    assert _lay(here.door, line) >= WAIT / 2
-
-
-def test_the_first_on_a_connection_may_have_waited_to_be_accepted(stack: ExitStack) -> None:
-    door = PrioritySelector(OverloadControl([0.4]))
-    stack.callback(door.close)
-    line = Line(stack, door)
-    assert door.select(0) == []
-    door.unregister(line.here)
-    line.there.send(b"x")
-    time.sleep(WAIT)
-    for _ in range(3):  # it is accepted, set up and registered
-        door.select(0)
-    door.register(line.here, selectors.EVENT_READ)
-    assert len(door.select(0)) == 1
-    assert _lay(door, line, is_first_read=True) >= WAIT / 2
+        assert selector.select(0) == []
+    connection.remote.send(b"x")
+    time.sleep(WAIT_SECONDS)
+    assert len(selector.select(0)) == 1
+    assert _unread_seconds(selector, connection) == 0.0
+    assert _unread_seconds(selector, connection, is_first_read=True) == 0.0
+
+
+def test_a_poll_that_holds_events_back_does_not_bound_the_waiting_time(stack: ExitStack) -> None:
+    sockets = ReadySockets(stack, clients=2 * READS_PER_TURN)
+    connection = Connection(stack, sockets.selector)
+    sockets.selector.client_descriptors.add(connection.local.fileno())
+    sockets.poll()
+    connection.remote.send(b"x")
+    time.sleep(4 * WAIT_SECONDS)  # longer than the intervals of the overload detection
+    sockets.overload_process()
+    for _ in range(4):  # the other clients come first
+        assert connection.local not in sockets.poll()
+    sockets.overload.is_overloaded = False
+    sockets.poll()
+    assert _unread_seconds(sockets.selector, connection) >= WAIT_SECONDS / 2
+
+
+def test_the_first_input_of_a_connection_may_have_waited_to_be_accepted(stack: ExitStack) -> None:
+    selector = PrioritySelector(OverloadControl([0.4]))
+    stack.callback(selector.close)
+    connection = Connection(stack, selector)
+    assert selector.select(0) == []
+    selector.unregister(connection.local)
+    connection.remote.send(b"x")
+    time.sleep(WAIT_SECONDS)
+    for _ in range(3):  # one poll each to accept, set up and register it
+        selector.select(0)
+    selector.register(connection.local, selectors.EVENT_READ)
+    assert len(selector.select(0)) == 1
+    assert _unread_seconds(selector, connection, is_first_read=True) >= WAIT_SECONDS / 2
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -65,7 +65,7 @@
 async def running_program(
     folder: Path, config: object, **variables: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    # These say which package is tested: the sources here or what was built of them.
+    # These decide which package is tested: the sources or the built one.
     inherited = {name: os.environ[name] for name in ("PYTHONPATH", "PYTHONSAFEPATH") if name in os.environ}
     environment = {**inherited, "PROXY_CONFIG": str(write_config(folder, config)), **variables}
     async with running_process(sys.executable, "-m", "whinrouter", environment=environment) as process:
@@ -89,7 +89,7 @@
 
 
 @async_test
-async def test_sigterm_answers_what_is_held_and_exits_0(tmp_path: Path) -> None:
+async def test_sigterm_answers_held_requests_and_exits_0(tmp_path: Path) -> None:
     async with (
         scripted_servers(never_answers, _watch) as (host, service),
         running_program(tmp_path, platform_config(service.port, host.discovery_entry())) as process,
@@ -103,7 +103,7 @@
         await wait_until(lambda: host.requests)
         process.send_signal(signal.SIGTERM)
         signalled = time.monotonic()
-        while await up_status(port) == 200:  # new connections are still taken in
+        while await up_status(port) == 200:  # new connections are still accepted
             await asyncio.sleep(0.01)
         with contextlib.suppress(ConnectionError):
             while await up_status(port):
@@ -120,7 +120,7 @@
 
 
 @async_test
-async def test_a_client_that_reads_nothing_does_not_hold_up_the_exit(tmp_path: Path) -> None:
+async def test_a_client_that_reads_nothing_does_not_delay_the_exit(tmp_path: Path) -> None:
     short = SETTINGS | {"classes": [SETTINGS["classes"][0]]}
     async with (
         scripted_servers(answers_with(body=bytes(60_000)), _watch) as (host, service),
@@ -159,7 +159,7 @@
 
 @async_test
 async def test_sighup_moves_the_watch_to_the_discovery_of_the_new_file(tmp_path: Path) -> None:
-    """The old list serves until the new service tells its whole list, though a variable named the old one."""
+    """The old list serves until the new service sends a whole one, also if a variable named the old one."""
     async with scripted_servers(answers_with(body=b"known"), answers_with(body=b"told"), _watch) as (
         known,
         fresh,
@@ -186,7 +186,7 @@
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while (await client.fetch()).body != b"told":
                     await asyncio.sleep(0.01)
-            process.send_signal(signal.SIGHUP)  # nothing is new
+            process.send_signal(signal.SIGHUP)  # the file is unchanged
             process.send_signal(signal.SIGTERM)
             await wait_for_log(process, "stopping")
             process.send_signal(signal.SIGHUP)
@@ -214,7 +214,7 @@
 
 
 @async_test
-async def test_sighup_says_what_it_does_not_change(tmp_path: Path) -> None:
+async def test_sighup_logs_what_waits_for_a_restart(tmp_path: Path) -> None:
     async with (
         scripted_servers(_watch) as (service,),
         running_program(tmp_path, platform_config(service.port)) as process,
@@ -242,11 +242,11 @@
         platform_config(1, settings={}),
         platform_config(1, settings=[]),
         platform_config(1, known={"members": [{}]}),
-        platform_config(1, listen="192.0.2.1:9000"),  # no address of any machine: it cannot be bound
+        platform_config(1, listen="192.0.2.1:9000"),  # a documentation address, which can't be bound
     ],
 )
 @async_test
-async def test_a_bad_configuration_is_one_plain_line_and_exit_2(tmp_path: Path, config: object) -> None:
+async def test_a_bad_configuration_prints_one_line_and_exits_2(tmp_path: Path, config: object) -> None:
     async with running_program(tmp_path, config) as process:
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             _, errors = await process.communicate()
@@ -255,7 +255,7 @@
         assert errors.count(b"\n") == 1
 
 
-def test_the_environment_comes_before_the_file(tmp_path: Path) -> None:
+def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(platform_config(1)))
     config = load({"PROXY_CONFIG": str(path), "PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:9001"})
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""Limits the project sets itself."""
+"""Limits that the project sets for its own code."""
 
 from __future__ import annotations
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The lines that README shows do what it says."""
+"""The example in README.md runs and prints what README.md says."""
 
 from __future__ import annotations
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Attempts past the fallback, and hedges, share one budget."""
+"""Attempts beyond the fallback, and hedges, share one budget."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from .helpers import CLASSES, Driver
 
 
-def attempts_when_all_are_full(balancers: int, requests: int) -> int:
+def attempts_at_full_servers(balancers: int, requests: int) -> int:
     settings = Settings(CLASSES, balancers=balancers, max_attempts=9, may_hedge=True)
     driver = Driver(settings, 60)
     for _ in range(requests):
@@ -20,10 +20,10 @@
 
 
 def test_full_servers_get_one_attempt_one_fallback_and_a_tenth_more() -> None:
-    """Each of hundreds of balancers retrying as often as allowed kept full servers full."""
-    assert attempts_when_all_are_full(400, 100) <= 100 * (2 + RETRY_BUDGET_SHARE) + 1
+    """Hundreds of balancers that all retried as often as allowed kept full servers full."""
+    assert attempts_at_full_servers(400, 100) <= 100 * (2 + RETRY_BUDGET_SHARE) + 1
 
 
 def test_the_burst_of_the_budget_is_split_among_the_balancers() -> None:
-    assert attempts_when_all_are_full(1, 1) == 9
-    assert attempts_when_all_are_full(400, 1) == 3
+    assert attempts_at_full_servers(1, 1) == 9
+    assert attempts_at_full_servers(400, 1) == 3
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Which class a path leads to, however a host may read it."""
+"""The class of a path, however a host interprets the path."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 def class_by_plain_search(prefixes: dict[str, str], path: str) -> str | None:
-    """The class of a path as it stands, by a plain search."""
+    """The class of a path without any decoding, by the longest matching prefix."""
     matches = [prefix for prefix in prefixes if path == prefix or path.startswith(prefix.rstrip("/") + "/")]
     return prefixes[max(matches, key=len)] if matches else None
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over generated event sequences; the driver asserts them at every action."""
+"""The rules of the interface hold over generated events; the driver asserts them at every action."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def pass_time(driver: Driver, until: int) -> None:
-    """Let timers fire and deadlines pass in their order."""
+    """Fire timers and expire deadlines in their order, up to a moment."""
     while True:
         timers = [due for due, _ in driver.timers]
         deadlines = [due for _, due in driver.unanswered.values()]
@@ -57,6 +57,7 @@
 
 
 def step(driver: Driver, operation: str, number: int, detail: object) -> None:
+    """Carry out one generated operation."""
     if operation == "submit":
         assert isinstance(detail, int)
         driver.submit(CLASSES[number], detail * MS, cost=number * 10 * MS, key=f"k{number}")
@@ -104,7 +105,7 @@
 def test_a_cold_server_never_gets_more_than_its_share_in_any_window(
     seed: int, share: float, arrivals: list[tuple[int, int]]
 ) -> None:
-    """Whatever this balancer's traffic, the cold server's part in it stays near its part in the capacity."""
+    """Whatever the traffic, a cold server's share of the work stays near its share of the capacity."""
     options = Settings(CLASSES, cold_share=share, ramp_time=20 * SECOND, may_hedge=True, may_cancel=True)
     driver = Driver(options, 4, seed)
     for _ in range(100):
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""A balancer turns work away while its own answers show that the servers are overloaded."""
+"""Load shedding: a balancer refuses work while its own answers show that the servers are overloaded."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_traffic(driver: Driver, latency: int, requests: int, gap: int = 20 * MS) -> None:
-    """Requests of both classes in turn, each answered after so long."""
+    """Submit requests of both classes in turn, each answered after `latency`."""
     pending_answers: list[tuple[int, int]] = []
     for number in range(requests):
         arrives = driver.now + gap
@@ -32,6 +32,7 @@
 
 
 def overloaded(gap: int = 20 * MS, worst_class_weight: float = 0.0) -> Driver:
+    """Return a driver after two seconds of late answers."""
     driver = Driver(
         Settings(CLASSES, may_cancel=True, worst_class_weight=worst_class_weight), 12, classes=CLASSES
     )
@@ -42,7 +43,7 @@
 
 
 def test_late_answers_shed_requests_of_the_least_worth_first() -> None:
-    """Queues longer than the clients' patience kept every server busy with work nobody waited for."""
+    """Queues longer than the clients' timeouts kept every server busy with work that no client waited for."""
     driver = overloaded()
     assert refused(driver, LOW_WORTH, 20) > 10
     assert refused(driver, HIGH_WORTH, 20) < refused(driver, LOW_WORTH, 20)
@@ -55,10 +56,10 @@
 
 
 def test_the_end_of_an_overload_is_detected_within_seconds_at_low_traffic() -> None:
-    """At 20 requests a second nearly all were refused for half a minute, as hardly one was let through."""
+    """At 20 requests a second nearly all were refused for half a minute, as hardly any was admitted."""
     driver = Driver(Settings(CLASSES, may_cancel=True), 12, classes=CLASSES)
     run_traffic(driver, 20 * MS, 100)
-    run_traffic(driver, 350 * MS, 800, gap=5 * MS)  # long enough to leave next to nothing
+    run_traffic(driver, 350 * MS, 800, gap=5 * MS)  # long enough to bring the admitted share near zero
     for request in list(driver.answers):
         for sent in driver.running(request):
             driver.end_attempt(sent, Outcome.OK)
@@ -70,13 +71,13 @@
 
 
 def test_a_balancer_with_little_traffic_sheds_as_soon() -> None:
-    """Counting late answers would make one of hundreds of balancers react after a minute."""
+    """Had late answers been counted instead, one of hundreds of balancers would react after a minute."""
     driver = overloaded(gap=150 * MS)
     assert refused(driver, LOW_WORTH, 3) >= 2
 
 
 def test_rejections_by_a_full_server_cause_no_shedding_while_another_serves() -> None:
-    """Slow servers with full queues made balancers refuse what the rest of the fleet had room for."""
+    """Slow servers with full queues made balancers refuse work for which other servers had capacity."""
     driver = Driver(Settings(CLASSES, may_cancel=True), 12, classes=CLASSES)
     for _ in range(200):
         driver.now += 20 * MS
@@ -89,7 +90,7 @@
 
 
 def test_a_retry_whose_aim_has_passed_is_refused() -> None:
-    """Clients that gave up came back for answers worth nothing and kept the servers from those in time."""
+    """Clients retried after their timeouts for worthless answers, and delayed requests that were in time."""
     driver = Driver(Settings(CLASSES), 12, classes=CLASSES)
     driver.submit(LOW_WORTH, timeout=300 * MS)
     after_refusal = driver.submit(LOW_WORTH, timeout=300 * MS, is_retry=True)
@@ -106,7 +107,7 @@
 
 
 def test_requests_beyond_a_tenant_allowance_are_shed_first() -> None:
-    """Such traffic is worth little, yet it took the room of tenants that kept to their shares."""
+    """Such traffic has little worth, yet it took the capacity of tenants that kept to their allowances."""
     settings = Settings((LOW_WORTH,), allowances={"modest": 30.0, "greedy": 5.0}, over_allowance_worth=0.1)
     driver = Driver(settings, 12, classes=(LOW_WORTH,))
     requests: dict[str, list[int]] = {"modest": [], "greedy": []}
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""Sidecars as they are run: from an operator file, as a process of their own, on loopback."""
+"""Sidecars run from an operator file as processes of their own on loopback."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
     scripted_servers,
     wait_until,
 )
-from tests.processes import running_process as running
+from tests.processes import running_process as run_process
 from tests.processes import wait_for_log
 from tests.test_discovery import HEAD, chunk
 from whinrouter.operator.checks import check
 from whinrouter.operator.loading import load
 
 GOOD_FILES = sorted((CORPUS / "good").glob("*.toml"))
-PORTS = iter(range(20_000, 30_000))  # below the ephemeral range, as the checks want it
+PORTS = iter(range(20_000, 30_000))  # below the ephemeral range, as the checks require
 
 
 def free_port() -> int:
-    """A port that nobody listens on; another test's process may run beside this one."""
+    """Return a port that no process listens on; another test process may run at the same time."""
     for port in PORTS:
         with socket.socket() as probe:
             try:
@@ -50,7 +50,7 @@
 
 
 def write_configs(folder: Path, host: ScriptedServer, service: int = 1) -> dict[str, str]:
-    """The good configurations in a folder, with this host behind each; what stands for the names in them."""
+    """Write the good configurations to a folder, with this host behind each; return the values filled in."""
     port = free_port()
     names = {
         "LISTEN": f"127.0.0.1:{port}",
@@ -71,13 +71,13 @@
 
 
 def running_sidecar(path: Path, *arguments: str) -> AbstractAsyncContextManager[asyncio.subprocess.Process]:
-    return running(
+    return run_process(
         sys.executable, "-m", "whinrouter.operator.cli", "run", "--operator", str(path), *arguments
     )
 
 
 async def connect(path: Path) -> Client:
-    """A client of the sidecar that a file describes, as soon as it listens."""
+    """Connect to the sidecar that a file describes, as soon as it listens."""
     address = load(path).model.listen.address
     assert address is not None
     async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
@@ -90,19 +90,19 @@
                 await asyncio.sleep(0.01)
 
 
-async def ask(client: Client, method: str, path: str) -> int:
-    """A request as an application writes it, which knows nothing of classes or ids."""
+async def fetch_status(client: Client, method: str, path: str) -> int:
+    """Send a request as an application does, without a class or an id."""
     client.writer.write(f"{method} {path} HTTP/1.1\r\nHost: fleet\r\nContent-Length: 0\r\n\r\n".encode())
     return (await client.read_answer()).status
 
 
 @asynccontextmanager
 async def discovery(host: ScriptedServer) -> AsyncIterator[int]:
-    """A service that tells of this host."""
+    """A discovery service that lists this host."""
 
     async def send_list(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(HEAD + chunk(line(host)))
+        writer.write(HEAD + chunk(host_list_line(host)))
         await reader.read()
         writer.close()
 
@@ -113,11 +113,11 @@
         server.close()
 
 
-def line(host: ScriptedServer) -> bytes:
+def host_list_line(host: ScriptedServer) -> bytes:
     return orjson.dumps({"revision": 1, "complete": True, "members": [host.discovery_entry()]}) + b"\n"
 
 
-def test_there_are_good_ones_enough() -> None:
+def test_there_are_enough_good_configurations() -> None:
     assert len(GOOD_FILES) >= 12
 
 
@@ -132,10 +132,11 @@
             await wait_for_log(process, "listens on")
             client = await connect(path)
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
-                while await ask(client, "GET", "/up") != 200:  # the first list may be on its way
+                # The first list may not have arrived yet.
+                while await fetch_status(client, "GET", "/up") != 200:
                     await asyncio.sleep(0.01)
-            assert await ask(client, "GET", "/page-read/7?page=4") == 200
-            assert await ask(client, "POST", "/chapter-buy") == 200
+            assert await fetch_status(client, "GET", "/page-read/7?page=4") == 200
+            assert await fetch_status(client, "POST", "/chapter-buy") == 200
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
         assert [request.method for request in host.requests] == [b"GET", b"POST"]
@@ -153,13 +154,13 @@
         )
         async with running_sidecar(tmp_path / "app.toml") as process:
             await wait_for_log(process, "listens on")
-            assert await ask(await connect(tmp_path / "app.toml"), "POST", "/chapter-buy") == 502
+            assert await fetch_status(await connect(tmp_path / "app.toml"), "POST", "/chapter-buy") == 502
         assert len(failing.requests) == 1
         assert not other.requests
 
 
 @async_test
-async def test_what_leads_to_no_class_or_has_another_method_reaches_no_host(tmp_path: Path) -> None:
+async def test_a_request_with_an_unknown_path_or_method_reaches_no_host(tmp_path: Path) -> None:
     async with scripted_servers(answers_with()) as (host,):
         write_configs(tmp_path, host)
         async with running_sidecar(tmp_path / "plain.toml") as process:
@@ -172,7 +173,7 @@
                 ("GET", "/page-read/..%2fchapter-buy", 400),
                 ("GET", "/page-read/../chapter-buy", 400),
             ]:
-                assert await ask(await connect(tmp_path / "plain.toml"), method, path) == status
+                assert await fetch_status(await connect(tmp_path / "plain.toml"), method, path) == status
         assert not host.requests
 
 
@@ -182,7 +183,7 @@
 
 
 @async_test
-async def test_what_the_check_refuses_does_not_start(tmp_path: Path) -> None:
+async def test_a_configuration_that_the_check_refuses_does_not_start(tmp_path: Path) -> None:
     async with scripted_servers(answers_with()) as (host,):
         write_configs(tmp_path, host)
         path = tmp_path / "bad.toml"
@@ -208,7 +209,7 @@
 
 
 @async_test
-async def test_an_address_that_is_taken_is_told(tmp_path: Path) -> None:
+async def test_an_address_in_use_is_reported(tmp_path: Path) -> None:
     async with scripted_servers(answers_with()) as (host,):
         write_configs(tmp_path, host)
         for name in ("plain", "socket"):
@@ -220,7 +221,7 @@
 
 
 @async_test
-async def test_a_socket_that_a_killed_sidecar_left_is_taken_over(tmp_path: Path) -> None:
+async def test_a_socket_left_by_a_killed_sidecar_is_replaced(tmp_path: Path) -> None:
     async with scripted_servers(answers_with()) as (host,):
         write_configs(tmp_path, host)
         path = tmp_path / "socket.toml"
@@ -231,11 +232,11 @@
         assert (tmp_path / "reader.sock").exists()
         async with running_sidecar(path) as process:
             await wait_for_log(process, "listens on")
-            assert await ask(await connect(path), "GET", "/page-read") == 200
+            assert await fetch_status(await connect(path), "GET", "/page-read") == 200
 
 
 @async_test
-async def test_a_host_that_leaves_the_file_gets_nothing_more(tmp_path: Path) -> None:
+async def test_a_host_that_leaves_the_file_gets_no_more_requests(tmp_path: Path) -> None:
     async with scripted_servers(answers_with(), answers_with()) as (first, second):
         write_configs(tmp_path, first)
         path = tmp_path / "file.toml"
@@ -243,26 +244,26 @@
             await wait_for_log(process, "listens on")
             client = await connect(path)
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
-                while await ask(client, "GET", "/up") != 200:
+                while await fetch_status(client, "GET", "/up") != 200:
                     await asyncio.sleep(0.01)
-            assert await ask(client, "GET", "/page-read") == 200
-            (tmp_path / "hosts").write_text("no address\n")  # broken: the list in hand stays
+            assert await fetch_status(client, "GET", "/page-read") == 200
+            (tmp_path / "hosts").write_text("no address\n")  # invalid: the current list stays
             await wait_for_log(process, "the list in hand stays")
-            assert await ask(client, "GET", "/page-read") == 200
+            assert await fetch_status(client, "GET", "/page-read") == 200
             beside = tmp_path / "hosts.new"
             beside.write_text(f"127.0.0.1:{second.port}\n")
             beside.rename(tmp_path / "hosts")
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while not second.requests:
-                    assert await ask(client, "GET", "/page-read") == 200
+                    assert await fetch_status(client, "GET", "/page-read") == 200
             seen = len(first.requests)
             for _ in range(20):
-                assert await ask(client, "GET", "/page-read") == 200
+                assert await fetch_status(client, "GET", "/page-read") == 200
             assert len(first.requests) == seen
 
 
 @async_test
-async def test_a_reload_takes_over_hosts_and_refuses_what_is_bad(tmp_path: Path) -> None:
+async def test_a_reload_applies_hosts_and_refuses_a_bad_file(tmp_path: Path) -> None:
     async with scripted_servers(answers_with(), answers_with()) as (first, second):
         write_configs(tmp_path, first)
         path = tmp_path / "plain.toml"
@@ -270,7 +271,7 @@
         async with running_sidecar(path) as process:
             await wait_for_log(process, "listens on")
             client = await connect(path)
-            assert await ask(client, "GET", "/page-read") == 200
+            assert await fetch_status(client, "GET", "/page-read") == 200
             path.write_text(
                 original.replace('name = "chapter-buy"', 'name = "chapter-buy"\neffect = "idempotent"')
             )
@@ -279,17 +280,16 @@
             changed = original.replace(f"127.0.0.1:{first.port}", f"127.0.0.1:{second.port}")
             path.write_text(changed + "\n[limits]\nclients = 10\n")
             process.send_signal(signal.SIGHUP)
-            await wait_for_log(
-                process, "limits.clients: 400 -> 10 (needs a restart)"
-            )  # the hosts come with it
+            # The hosts are applied in the same reload.
+            await wait_for_log(process, "limits.clients: 400 -> 10 (needs a restart)")
             seen = len(first.requests)
             for _ in range(20):
-                assert await ask(client, "GET", "/page-read") == 200
+                assert await fetch_status(client, "GET", "/page-read") == 200
             assert (len(first.requests), len(second.requests)) == (seen, 20)
 
 
 @async_test
-async def test_a_reload_takes_classes_over_and_calls_are_taken(tmp_path: Path) -> None:
+async def test_a_reload_applies_classes_and_calls_are_answered(tmp_path: Path) -> None:
     async with scripted_servers(answers_with()) as (host,):
         write_configs(tmp_path, host)
         path = tmp_path / "plain.toml"
@@ -300,21 +300,21 @@
             await wait_for_log(process, "takes calls on")
             await wait_for_log(process, "listens on")
             client = await connect(path)
-            assert await ask(client, "GET", "/page-read") == 200
+            assert await fetch_status(client, "GET", "/page-read") == 200
             assert (await operator_call(control_port, f"OFFLINE 127.0.0.1:{host.port}")).startswith("+OK")
-            assert await ask(client, "GET", "/page-read") == 503
+            assert await fetch_status(client, "GET", "/page-read") == 503
             assert (await operator_call(control_port, f"ONLINE 127.0.0.1:{host.port}")).startswith("+OK")
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
-                while await ask(client, "GET", "/page-read") != 200:
+                while await fetch_status(client, "GET", "/page-read") != 200:
                     await asyncio.sleep(0.01)
             path.write_text(original + '\n[[class]]\nname = "gift"\n')
             process.send_signal(signal.SIGHUP)
             await wait_for_log(process, "settings: ")
-            assert await ask(client, "POST", "/gift") == 200
+            assert await fetch_status(client, "POST", "/gift") == 200
 
 
 def application(folder: Path) -> subprocess.Popen[bytes]:
-    """A process that stands for the application, and its file."""
+    """Start a process in place of the application, and write its pid file."""
     process = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(1000)"])
     beside = folder / "pid.new"
     beside.write_text(f"{process.pid}\n")
@@ -323,7 +323,7 @@
 
 
 @async_test
-async def test_a_sidecar_takes_no_work_while_its_application_is_gone(tmp_path: Path) -> None:
+async def test_a_sidecar_does_not_listen_while_its_application_is_gone(tmp_path: Path) -> None:
     async with scripted_servers(answers_with()) as (host,):
         write_configs(tmp_path, host)
         path = tmp_path / "beside.toml"
@@ -334,27 +334,27 @@
             await wait_for_log(process, "digest")
             with pytest.raises(OSError, match="onnect"):
                 await asyncio.open_connection(address.host, address.port)
-            for _ in range(2):  # it comes, is killed, comes back
+            for _ in range(2):  # the application starts, is killed, and starts again
                 app = application(tmp_path)
                 client = await connect(path)
-                assert await ask(client, "GET", "/page-read") == 200
+                assert await fetch_status(client, "GET", "/page-read") == 200
                 app.kill()
                 app.wait()
-                assert await client.read_to_end() == b""  # its idle connection is closed
+                assert await client.read_to_end() == b""  # the idle connection is closed
                 with pytest.raises(OSError, match="onnect"):
                     await asyncio.open_connection(address.host, address.port)
             assert process.returncode is None
 
 
 @async_test
-async def test_a_sidecar_ends_with_its_application_if_it_is_to(tmp_path: Path) -> None:
+async def test_a_sidecar_exits_with_its_application_if_configured(tmp_path: Path) -> None:
     async with scripted_servers(answers_with()) as (host,):
         write_configs(tmp_path, host)
         path = tmp_path / "ends.toml"
         app = application(tmp_path)
         async with running_sidecar(path) as process:
             await wait_for_log(process, "listens on")
-            assert await ask(await connect(path), "GET", "/page-read") == 200
+            assert await fetch_status(await connect(path), "GET", "/page-read") == 200
             app.kill()
             app.wait()
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
@@ -362,7 +362,7 @@
 
 
 @async_test
-async def test_a_request_in_work_is_answered_before_the_end(tmp_path: Path) -> None:
+async def test_a_request_in_progress_is_answered_before_the_exit(tmp_path: Path) -> None:
     async with scripted_servers(never_answers) as (host,):
         write_configs(tmp_path, host)
         path = tmp_path / "plain.toml"
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,9 +1,8 @@
-"""Signals in series, in the first instants of a process and during its end, end no process by themselves.
+"""Repeated signals in the first instants of a process and during its shutdown do not kill it.
 
-What happened: SIGTERM, then SIGHUP or SIGTERM every 2 ms to the exit, ended 12 of 12 processes by the signal
-(exit -1 and -15), as the loop gives the default action back when it closes and the interpreter still takes
-its time to end. SIGHUP every 5 ms from the start on ended 12 of 12, as the imports came before anything
-held it.
+The failure: SIGTERM, then SIGHUP or SIGTERM every 2 ms until the exit, killed 12 of 12 processes (exit -1 and
+-15), as the loop restores the default action when it closes and the interpreter takes time to exit after
+that. SIGHUP every 5 ms from the start killed 12 of 12, as the imports came before anything blocked it.
 """
 
 from __future__ import annotations
@@ -29,11 +28,11 @@
 
 SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT)
 ROUNDS = 3
-SERIES_INTERVAL_SECONDS = 0.002  # seconds between two signals of a series
+SERIES_INTERVAL_SECONDS = 0.002  # between two signals
 
 
 def _command() -> str:
-    """The deploy file's own line, with the interpreter and the package that are tested."""
+    """Return the command of the deploy file, with the interpreter and the package that are tested."""
     run: str = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert ".venv/bin/python -P" in run
     return run.replace(".venv/bin/python -P", sys.executable)
@@ -55,9 +54,10 @@
 
 
 def _blocks(process: asyncio.subprocess.Process, signal_number: signal.Signals) -> bool:
-    """Whether what was started holds this signal back, as the system tells.
+    """Return whether the started program blocks this signal, as the system reports.
 
-    The shell before it does so too for an instant, while it forks; only what it execs does so to stay.
+    The shell that starts it also blocks signals for an instant while it forks; only the program keeps them
+    blocked.
     """
     lines = Path(f"/proc/{process.pid}/status").read_text().splitlines()
     status = dict(line.split(":\t", 1) for line in lines if ":\t" in line)
@@ -65,10 +65,10 @@
 
 
 async def _send_repeatedly(process: asyncio.subprocess.Process, signal_number: signal.Signals) -> None:
-    """One signal after the other for as long as the process is there.
+    """Send one signal after the other for as long as the process exists.
 
-    By its number: `Popen.send_signal` looks whether it has ended, and would take its exit status from whoever
-    waits for that ("Unknown child process", 255).
+    `os.kill` is used because `Popen.send_signal` polls the process and would take its exit status from the
+    task that waits for it ("Unknown child process", 255).
     """
     with contextlib.suppress(ProcessLookupError):
         while process.returncode is None:
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("signal_number", SIGNALS)
 @async_test
-async def test_no_series_of_signals_during_the_end_ends_it(
+async def test_repeated_signals_during_the_shutdown_do_not_kill_the_process(
     tmp_path: Path, signal_number: signal.Signals
 ) -> None:
     for _ in range(ROUNDS):
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGUSR1])
 @async_test
-async def test_no_series_from_its_first_instants_on_ends_it(
+async def test_repeated_signals_from_the_first_instants_do_not_kill_the_process(
     tmp_path: Path, signal_number: signal.Signals
 ) -> None:
     for _ in range(ROUNDS):
@@ -112,10 +112,10 @@
 
 @pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGINT])
 @async_test
-async def test_an_end_that_is_asked_for_in_the_first_instants_is_an_end_in_order(
+async def test_a_stop_signal_in_the_first_instants_leads_to_a_clean_exit(
     tmp_path: Path, signal_number: signal.Signals
 ) -> None:
-    """It is held until the process can act on it, and not lost."""
+    """The signal stays pending until the process can handle it."""
     for _ in range(ROUNDS):
         async with _gateway(tmp_path) as process:
             await wait_until(lambda: _blocks(process, signal.SIGTERM))
@@ -125,7 +125,7 @@
 
 
 @async_test
-async def test_no_series_during_its_end_ends_a_sidecar(tmp_path: Path) -> None:
+async def test_repeated_signals_during_the_shutdown_do_not_kill_a_sidecar(tmp_path: Path) -> None:
     async with scripted_servers(never_answers) as (host,):
         write_configs(tmp_path, host)
         for signal_number in SIGNALS:
@@ -139,14 +139,14 @@
 
 
 @async_test
-async def test_calls_that_are_asked_for_in_a_series_are_made_seldom_and_the_last_is_made() -> None:
+async def test_repeated_requests_are_coalesced_and_the_last_one_runs() -> None:
     loop, made = asyncio.get_running_loop(), []
-    call = CoalescedCall(loop, lambda: made.append(asked), interval=0.05)
-    for asked in range(100):  # noqa: B007 - what the call sees
+    call = CoalescedCall(loop, lambda: made.append(request_index), interval=0.05)
+    for request_index in range(100):  # noqa: B007 - read by the call
         call.request()
-    assert made == [0], "the first at once"
+    assert made == [0], "the first request runs at once"
     await wait_until(lambda: len(made) == 2)
-    assert made[-1] == 99, "and one for all the others"
+    assert made[-1] == 99, "one run for all the others"
     call.request()
     call.stop()
     await asyncio.sleep(0.1)
@@ -154,8 +154,8 @@
 
 
 @async_test
-async def test_a_series_that_asks_for_events_does_not_hold_up_requests(tmp_path: Path) -> None:
-    """Found by the soak: each SIGUSR1 wrote thousands of lines, and answers came 0.6 s late."""
+async def test_repeated_requests_for_events_do_not_delay_answers(tmp_path: Path) -> None:
+    """Found by the soak: each SIGUSR1 wrote thousands of lines, and answers were 0.6 s late."""
     async with _gateway(tmp_path) as process:
         port = await listen_port(process)
         assert await up_status(port) == 503
