--- a/tests/test_slowstart.py
+++ b/tests/test_slowstart.py
@@ -1,4 +1,4 @@
-"""Cold servers: what all balancers send one together, and that those who can do more are not left idle."""
+"""Cold servers: the work that all balancers together send, and that spare capacity is used."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def burst_at_cold_servers(seed: int) -> Fleet:
-    """Eight of twelve servers start anew, and can do more than is told; a burst comes two seconds later."""
+    """Eight of twelve servers restart, with more than their announced capacity; a burst comes 2 s later."""
     warmup = Warmup(
         initial_share=0.6,
         announced_share=0.15,
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_burst_does_not_leave_cold_servers_idle(seed: int) -> None:
-    """They got a part of what the warm ones did: as these drowned, it shrank, and half was refused."""
+    """Cold servers got a share of the warm ones' work, which shrank under overload: half was refused."""
     fleet = burst_at_cold_servers(seed)
     fleet.run(16 * SECOND)
     assert not fleet.violations
@@ -48,10 +48,10 @@
 
 
 class ColdServerScene:
-    """Balancers before one cold server that works through what it is sent, one after another."""
+    """Balancers and one cold server, which serves requests one after another."""
 
     def __init__(self, balancers: int, seed: int, base_rate_share: float) -> None:
-        """`base`: the sum of all base rates, as a part of the server's capacity."""
+        """`base_rate_share`: the sum of all base rates, as a share of the server's capacity."""
         self.warmup = Warmup(
             initial_share=0.2,
             announced_share=0.2,
@@ -70,13 +70,17 @@
         self._free_at = 0.0
 
     def play(self, start: int, end: int, rate: float) -> None:
-        """So many requests a second come, each at some balancer, and each would go to this server."""
+        """Send `rate` requests per second, each through a random balancer, all to this server."""
         now = float(start)
         while (now := now + self.random.expovariate(rate / SECOND)) < end:
             self._deliver_answers(round(now))
             balancer = self.random.choice(self.balancers)
             if balancer.admits(
-                1.0, self.rate, TOKEN_LIFETIME_FRACTION * self.warmup.overload_window, round(now), self.random
+                1.0,
+                self.rate,
+                TOKEN_LIFETIME_FRACTION * self.warmup.overload_window,
+                round(now),
+                self.random,
             ):
                 balancer.record_send(1.0)
                 self.load.record(1.0, 1, round(now))
@@ -93,7 +97,7 @@
 @pytest.mark.parametrize("base", [0.0, 1.0, 4 * 0.6])
 @pytest.mark.parametrize("balancers", [1, 30, 200])
 def test_all_balancers_together_stay_below_the_overload_of_a_cold_server(balancers: int, base: float) -> None:
-    """Also as a burst of forty times its capacity comes after a time in which tokens could be saved."""
+    """Even if a burst of forty times the capacity follows a time in which tokens could be saved."""
     for seed in range(20):
         scene = ColdServerScene(balancers, seed, base)
         scene.play(SECOND, 10 * SECOND, 2.0)
@@ -102,7 +106,7 @@
 
 
 def test_saved_tokens_do_not_grow_with_the_number_of_balancers() -> None:
-    """Each of 200 that saved up a whole request could have sent it at the same moment."""
+    """If each of 200 balancers saved up for a whole request, all could send theirs at the same moment."""
     granted = []
     for seed in range(50):
         scene = ColdServerScene(200, seed, 1.0)
@@ -116,7 +120,7 @@
 
 
 def test_tokens_from_answers_raise_a_cold_server_to_its_capacity() -> None:
-    """The base rate is a fiftieth of that."""
+    """The base rate alone is a fiftieth of the capacity."""
     scene = ColdServerScene(30, 1, 0.02)
     scene.play(0, 20 * SECOND, 480.0)
     before = scene.served
@@ -125,11 +129,11 @@
 
 
 def test_the_base_rate_and_answers_do_not_add_up() -> None:
-    """What answers bring takes the place of the base rate, be that less or more."""
+    """Tokens from answers replace those of the base rate, whichever are more."""
     multiple, lifetime, random = 4.0, float(SECOND), Random(1)
     slow_start = SlowStart(0)
     for now in range(0, 5 * SECOND, 10 * MS):
-        slow_start.record_answer(0.01, multiple)  # a unit of work a second
+        slow_start.record_answer(0.01, multiple)  # one unit of work per second
         slow_start.admits(1e9, 1 / SECOND, lifetime, now, random)  # takes all tokens
         slow_start.tokens = 0.0
     slow_start.admits(1e9, 1 / SECOND, lifetime, 5 * SECOND + 100 * MS, random)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""The gateway ends, or hosts do, while something is owed: each request that came has its one answer."""
+"""The gateway or its hosts stop while requests are open: each request received gets exactly one answer."""
 
 from __future__ import annotations
 
@@ -48,16 +48,14 @@
     writer.write(HEAD)
 
 
-def _stop(proxy: RunningGateway, seconds_ago: float = 0.0) -> None:
-    proxy.frontend.presence.stop(asyncio.get_running_loop().time() - seconds_ago)
+def _stop(running: RunningGateway, seconds_ago: float = 0.0) -> None:
+    running.frontend.presence.stop(asyncio.get_running_loop().time() - seconds_ago)
 
 
 @pytest.mark.parametrize("other", [{}, {"control": "127.0.0.1:0"}], ids=["without calls", "with calls"])
 @async_test
-async def test_sighup_before_the_program_can_act_on_it_is_acted_on_later(
-    tmp_path: Path, other: dict[str, str]
-) -> None:
-    """It comes as the configuration is being read, which is the old one still."""
+async def test_an_early_sighup_is_handled_later(tmp_path: Path, other: dict[str, str]) -> None:
+    """The signal arrives while the old configuration is being read."""
     async with scripted_servers(_watch, _watch) as (old, new):
         path = tmp_path / "config.json"
         before = write_config(tmp_path, platform_config(old.port, **other)).read_bytes()
@@ -65,7 +63,7 @@
         os.mkfifo(path)
         starting = asyncio.get_running_loop().run_in_executor(None, path.open, "wb")
         async with _program_with_existing_config(tmp_path) as process:
-            pipe = await starting  # it has opened the file, and reads
+            pipe = await starting  # the program has opened the file and is reading
             path.unlink()
             write_config(tmp_path, platform_config(new.port, **other))
             process.send_signal(signal.SIGHUP)
@@ -76,12 +74,12 @@
             process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 assert await process.wait() == 0
-        assert (len(old.requests), len(new.requests)) == (0, 1), "one watch, of the new one"
+        assert (len(old.requests), len(new.requests)) == (0, 1), "a single watch, at the new service"
 
 
 @asynccontextmanager
 async def _program_with_existing_config(folder: Path) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Started with the file that is in the folder already."""
+    """Start the program with the file that is already in the folder."""
     inherited = {name: os.environ[name] for name in ("PYTHONPATH", "PYTHONSAFEPATH") if name in os.environ}
     environment = {**inherited, "PROXY_CONFIG": str(folder / "config.json")}
     async with running_process(sys.executable, "-m", "whinrouter", environment=environment) as process:
@@ -89,7 +87,7 @@
 
 
 @async_test
-async def test_sigterm_twice_before_the_first_list_ends_it_in_order(tmp_path: Path) -> None:
+async def test_sigterm_twice_before_the_first_list_leads_to_a_clean_exit(tmp_path: Path) -> None:
     async with (
         scripted_servers(never_answers) as (service,),
         running_program(tmp_path, platform_config(service.port)) as process,
@@ -114,7 +112,7 @@
 
 
 @async_test
-async def test_requests_of_classes_that_a_reload_made_longer_are_waited_for(tmp_path: Path) -> None:
+async def test_the_exit_waits_for_deadlines_that_a_reload_made_longer(tmp_path: Path) -> None:
     async with scripted_servers(never_answers, _watch) as (host, service):
         config = platform_config(
             service.port, host.discovery_entry(), settings=_settings_with_deadline(200_000)
@@ -130,7 +128,8 @@
             await wait_until(lambda: host.requests)
             process.send_signal(signal.SIGTERM)
             await wait_for_log(process, "stopping")
-            # By the settings of the start it would end within this: nothing is waited for here.
+            # With the settings of the start the process would have exited within this time; there is no event
+            # to wait for.
             await asyncio.sleep(4.0)
             assert process.returncode is None
             await answers_with(body=b"bought")(host.requests[0], host.request_writers[0])
@@ -140,14 +139,14 @@
 
 
 @async_test
-async def test_all_that_was_sent_ahead_is_answered_at_the_end() -> None:
-    """Each of them came whole; the last answer ends the connection, and no other."""
-    async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
-        client = await proxy.client()
+async def test_all_pipelined_requests_are_answered_at_the_end() -> None:
+    """All requests had been received whole; only the last answer ends the connection."""
+    async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as running:
+        client = await running.client()
         client.writer.write(request_text() + request_text("chapter-buy") + request_text())
         await wait_until(lambda: host.requests)
-        _stop(proxy)
-        proxy.frontend.close()
+        _stop(running)
+        running.frontend.close()
         answers: list[Message] = []
         reader = ResponseReader()
         for count in (1, 2, 3):
@@ -168,16 +167,14 @@
     ("seconds_ago", "status"), [(KILL_DELAY_SECONDS - 0.5, 200), (KILL_DELAY_SECONDS + 60.0, 503)]
 )
 @async_test
-async def test_a_request_that_comes_whole_as_the_process_is_to_be_ended(
-    seconds_ago: float, status: int
-) -> None:
-    """It had begun to come before; what can't be answered in what is left is refused at once, unsent."""
-    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        client, text = await proxy.client(), request_text("chapter-buy")
+async def test_a_request_that_completes_around_the_time_of_the_kill(seconds_ago: float, status: int) -> None:
+    """Its first bytes came before the signal; if too little time is left it is refused at once, unsent."""
+    async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as running:
+        client, text = await running.client(), request_text("chapter-buy")
         client.writer.write(text[:30])
-        await wait_until(lambda: any(one._request_reader.has_begun for one in proxy.frontend.connections))
-        _stop(proxy, seconds_ago)
-        proxy.frontend.close()
+        await wait_until(lambda: any(one._request_reader.has_begun for one in running.frontend.connections))
+        _stop(running, seconds_ago)
+        running.frontend.close()
         client.writer.write(text[30:])
         answer = await client.read_answer()
         assert (answer.status, answer.keep_alive) == (status, False)
@@ -185,31 +182,31 @@
 
 
 @async_test
-async def test_what_waited_for_a_host_that_drains_goes_to_none_that_drains_in_the_same_list() -> None:
-    """The list is taken host by host, and what waited for the first is sent again at once."""
+async def test_a_request_waiting_for_a_draining_host_goes_to_no_other_draining_host() -> None:
+    """The list is applied host by host, and requests waiting for the first host are sent again at once."""
     async with (
         scripted_servers(answers_with(), answers_with()) as (one, other),
-        running_gateway(other.member()) as proxy,
+        running_gateway(other.member()) as running,
     ):
         answers: list[Answer] = []
 
         def ask() -> None:
             message = RequestReader().feed(request_text())[0]
-            proxy.gateway.submit_request(ClientRequest(message, "page-read", 10 * SECOND), answers.append)
+            running.gateway.submit_request(ClientRequest(message, "page-read", 10 * SECOND), answers.append)
 
         ask()
         ask()
         await wait_until(lambda: len(answers) == 2)
-        waiting = proxy.upstream._hosts[other.member().server.id]
-        await wait_until(lambda: len(waiting.idle) == 2)  # connections at rest: a request would leave at once
-        proxy.gateway.update_hosts(make_host_list(one.member(), other.member()))
-        asked = 2
-        while not proxy.upstream._hosts[one.member().server.id].connecting:
+        waiting = running.upstream._hosts[other.member().server.id]
+        await wait_until(lambda: len(waiting.idle) == 2)  # idle connections: a request would be sent at once
+        running.gateway.update_hosts(make_host_list(one.member(), other.member()))
+        request_count = 2
+        while not running.upstream._hosts[one.member().server.id].connecting:
             ask()
-            asked += 1
+            request_count += 1
         drains = [peer.member(state=State.DRAINING) for peer in (one, other)]
-        proxy.gateway.update_hosts(make_host_list(*drains, revision=3))
-        await wait_until(lambda: len(answers) == asked)
+        running.gateway.update_hosts(make_host_list(*drains, revision=3))
+        await wait_until(lambda: len(answers) == request_count)
         assert [answer.status for answer in answers].count(503) == 1
-        assert len(other.requests) == asked - 1
+        assert len(other.requests) == request_count - 1
         assert not one.requests
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Which servers a balancer keeps to where there are many balancers."""
+"""The subset of the servers that a balancer uses where there are many balancers."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 
 
 def servers_used(rank: int, balancers: int, count: int, requests: int = 40) -> set[int]:
+    """Return the servers that one of several balancers sends to."""
     driver = Driver(Settings(CLASSES, balancers=balancers, rank=rank), count)
     return {driver.serve().server for _ in range(requests)}
 
@@ -20,7 +21,7 @@
 
 
 def test_each_server_is_in_the_subset_of_equally_many_balancers() -> None:
-    """Each opening a connection to every server, hundreds of balancers filled the tables of all of them."""
+    """When each of hundreds of balancers connected to every server, the connection tables were full."""
     balancers, count = 8 * BALANCERS_PER_SERVER, 64
     shared = Counter(server for rank in range(balancers) for server in servers_used(rank, balancers, count))
     assert len(shared) == count
@@ -43,7 +44,7 @@
 
 
 def test_a_latency_ratio_without_new_answers_is_forgotten() -> None:
-    """A server once slow would never be drawn first again."""
+    """Otherwise a server that was slow once would never be chosen first again."""
     driver = Driver(Settings(CLASSES), 2, seed=3)
     servers_sent_to = []
     for _ in range(60):
@@ -56,10 +57,10 @@
 
 
 def test_cold_servers_get_requests_from_the_balancers_whose_subset_holds_them() -> None:
-    """Each balancer's traffic goes to its slice; divided among all servers, it left the cold ones idle.
+    """A balancer's work must be divided among its subset: divided among all servers, it left cold ones idle.
 
-    Half of the servers are cold and can do half: a third of what all can do is theirs, and they carry nine
-    tenths of that at least, from the first request on.
+    Half of the servers are cold and have half of their capacity, so a third of the total capacity is theirs.
+    They get at least nine tenths of that share of the work, from the first request on.
     """
     balancers, count = 4 * BALANCERS_PER_SERVER, 48
     options = {"balancers": balancers, "cold_share": 0.5, "ramp_time": 1000 * SECOND}
@@ -85,7 +86,7 @@
 
 
 def test_limits_of_many_balancers_grow_only_with_use() -> None:
-    """Each meets a server seldom: with a whole request at each, nothing was bounded when all slowed."""
+    """A balancer seldom sends to a given server: limits of one request each did not bound an overload."""
     driver = Driver(Settings(CLASSES, balancers=MANY_BALANCERS), 60)
     for _ in range(1000):
         driver.serve()
@@ -103,11 +104,12 @@
             driver.now += 160 * MS
             driver.end_attempt(sent)
         driver.now += 20 * MS
-    assert 1 <= sum(host.limit for host in driver.balancer._hosts.values()) < 2.5  # of 3 at first
+    # The sum of the limits was 3 at first.
+    assert 1 <= sum(host.limit for host in driver.balancer._hosts.values()) < 2.5
 
 
 def test_pooled_servers_that_answer_in_time_are_drawn_first() -> None:
-    """It has one request at a server or none, which does not tell a slow one from the others."""
+    """A balancer has one request in flight at a server or none, which doesn't show which servers are slow."""
     driver = Driver(Settings(CLASSES, balancers=MANY_BALANCERS, max_attempts=1), 12, seed=5)
     servers_sent_to: list[int] = []
     for _ in range(900):
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""Timers fire once, in order, never early, and hold nothing once cancelled."""
+"""Timers fire once, in order and never early, and keep no references once cancelled."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 from whinrouter.net.timer_wheel import TICK, Timer, TimerWheel
 
 
-class Loop:
-    """A loop's clock and timers in simulated time."""
+class SimulatedLoop:
+    """An event loop's clock and timers in simulated time."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.handles: list[Handle] = []
+        self.handles: list[SimulatedHandle] = []
 
     def time(self) -> float:
         return self.now
 
-    def call_at(self, when: float, call: object) -> Handle:
-        self.handles.append(Handle(when, call))
+    def call_at(self, when: float, call: object) -> SimulatedHandle:
+        self.handles.append(SimulatedHandle(when, call))
         return self.handles[-1]
 
     def advance(self, seconds: float) -> None:
         end = self.now + seconds
-        while due := [handle for handle in self.handles if not handle.over and handle.when <= end]:
+        while due := [handle for handle in self.handles if not handle.is_done and handle.when <= end]:
             handle = min(due, key=lambda other: other.when)
-            handle.over = True
+            handle.is_done = True
             self.now = max(self.now, handle.when)
             handle.call()  # type: ignore[operator]
         self.now = end
 
 
-class Handle:
+class SimulatedHandle:
     def __init__(self, when: float, call: object) -> None:
-        self.when, self.call, self.over = when, call, False
+        self.when, self.call, self.is_done = when, call, False
 
     def cancel(self) -> None:
-        self.over = True
+        self.is_done = True
 
 
 steps = st.one_of(
@@ -56,7 +56,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(steps, max_size=40))
 def test_each_timer_fires_once_within_a_tick_unless_cancelled(script: list[tuple[str, float]]) -> None:
-    loop = Loop()
+    loop = SimulatedLoop()
     wheel = TimerWheel(loop)  # type: ignore[arg-type]
     fired: dict[int, float] = {}
     timers: list[Timer] = []
@@ -127,8 +127,8 @@
 
 
 def test_callback_may_set_the_next_timer() -> None:
-    """Compiled, the wheel's turn raised behind such a call."""
-    loop = Loop()
+    """Once compiled, the wheel raised after such a callback."""
+    loop = SimulatedLoop()
     wheel = TimerWheel(loop)  # type: ignore[arg-type]
     fired: list[float] = []
 
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -1,4 +1,4 @@
-"""A request that waits unread in its socket, as it does when the loop runs late, is not lost with it."""
+"""A request that waits unread in its socket, as under event loop lag, is not lost with its connection."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 from whinrouter.invariants.lifecycle import CloseReason
 from whinrouter.net import frontend
 
-SECONDS = max(kind.deadline for kind in SETTINGS.classes) / SECOND  # for which a client waits at the most
+LONGEST_DEADLINE_SECONDS = max(kind.deadline for kind in SETTINGS.classes) / SECOND
 
 
 def _before_admit(proxy: RunningGateway, act: Callable[[], None]) -> None:
-    """Between the loop's look at the sockets and the admission of a newcomer other callbacks run."""
+    """Call `act` between the loop's poll and the admission of a new connection, as other callbacks may."""
     admit = proxy.frontend.admit
 
-    def late(client: frontend.ClientConnection) -> bool:
+    def admit_late(client: frontend.ClientConnection) -> bool:
         act()
         return admit(client)
 
-    replace_method(proxy.frontend, "admit", late)
+    replace_method(proxy.frontend, "admit", admit_late)
 
 
-async def _answered(proxy: RunningGateway, host: ScriptedServer, count: int) -> None:
+async def _wait_for_answers(proxy: RunningGateway, host: ScriptedServer, count: int) -> None:
     await wait_until(lambda: len(host.requests) == count and not proxy.gateway.unanswered_count)
 
 
 @async_test
-async def test_an_idle_connection_with_a_request_unread_makes_no_room() -> None:
+async def test_an_idle_connection_with_an_unread_request_is_not_evicted() -> None:
     async with (
         scripted_servers(answers_with()) as (host,),
         running_gateway(host.member(), max_connections=8) as proxy,
@@ -57,14 +57,14 @@
         for client in clients:
             assert (await client.fetch()).status == 200
         _before_admit(proxy, lambda: clients[0].writer.write(request_text()))
-        newcomer = await proxy.client()
-        assert (await newcomer.fetch()).status == 200
+        new_client = await proxy.client()
+        assert (await new_client.fetch()).status == 200
         assert (await clients[0].read_answer()).status == 200
-        assert await clients[1].read_to_end() == b""  # the next in line went instead
+        assert await clients[1].read_to_end() == b""  # the next in the order was evicted instead
 
 
 @async_test
-async def test_at_the_limit_the_newest_goes_where_all_others_may_hold_a_request(
+async def test_at_the_limit_the_new_connection_is_closed_if_all_others_have_unread_input(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(frontend, "IDLE_EVICTION_SHARE", 1.0)
@@ -87,7 +87,7 @@
 
 
 @async_test
-async def test_who_is_owed_a_part_of_an_answer_makes_no_room() -> None:
+async def test_a_connection_with_unsent_output_is_not_evicted() -> None:
     async with (
         scripted_servers(answers_with(body=bytes(60_000))) as (host,),
         running_gateway(host.member(), max_connections=1) as proxy,
@@ -95,9 +95,9 @@
         client = await proxy.client()
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         (connection,) = proxy.frontend.connections
-        for asked in range(1, 1000):
+        for request_count in range(1, 1000):
             client.writer.write(request_text())
-            await _answered(proxy, host, asked)
+            await _wait_for_answers(proxy, host, request_count)
             if connection.unsent_bytes:
                 break
         with contextlib.suppress(ConnectionError):
@@ -110,7 +110,7 @@
 
 
 @async_test
-async def test_a_crowd_with_requests_unread_costs_a_newcomer_few_looks(
+async def test_a_new_connection_costs_few_checks_of_a_crowd_with_unread_input(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with (
@@ -119,22 +119,22 @@
     ):
         clients = [await proxy.client() for _ in range(30)]
         await wait_until(lambda: len(proxy.frontend.connections) == len(clients))
-        looks: list[asyncio.BaseTransport] = []
+        checked: list[asyncio.BaseTransport] = []
 
-        def look(transport: asyncio.BaseTransport) -> bool:
-            looks.append(transport)
+        def check(transport: asyncio.BaseTransport) -> bool:
+            checked.append(transport)
             return True
 
         skip_if_compiled(frontend)
-        monkeypatch.setattr(frontend, "has_unread", look)
+        monkeypatch.setattr(frontend, "has_unread", check)
         clients.append(await proxy.client())
         await wait_until(lambda: len(proxy.frontend.connections) == len(clients))
-        assert len(looks) == frontend.MAX_EVICTION_CHECKS
+        assert len(checked) == frontend.MAX_EVICTION_CHECKS
 
 
 @pytest.mark.parametrize("begun", [0, 30], ids=["idle", "begun"])
 @async_test
-async def test_the_sweep_ends_nobody_with_something_unread(begun: int) -> None:
+async def test_the_sweep_closes_no_connection_with_unread_input(begun: int) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client, text = await proxy.client(), request_text()
         await wait_until(lambda: proxy.frontend.connections)
@@ -148,32 +148,32 @@
 
 
 @async_test
-async def test_nobody_stays_past_their_time_by_sending_for_ever() -> None:
+async def test_endless_input_does_not_keep_an_overdue_connection_open() -> None:
     async with running_gateway() as proxy:
         client = await proxy.client()
         await wait_until(lambda: proxy.frontend.connections)
         (connection,) = proxy.frontend.connections
-        connection.wait_deadline = asyncio.get_running_loop().time() - SECONDS
+        connection.wait_deadline = asyncio.get_running_loop().time() - LONGEST_DEADLINE_SECONDS
         client.writer.write(b"G")
         proxy.frontend._sweep()
         await wait_until(lambda: not proxy.frontend.connections)
 
 
 @async_test
-async def test_a_request_that_waits_unread_for_long_at_the_own_limit_is_not_dropped() -> None:
-    """Reads are few a turn there: its time to be idle ran out long ago, its client's time has not."""
+async def test_a_request_that_waits_unread_for_long_under_overload_is_not_dropped() -> None:
+    """The loop then reads few clients a turn: the idle timeout has passed, but not the client's deadline."""
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         await wait_until(lambda: proxy.frontend.connections)
         (connection,) = proxy.frontend.connections
-        connection.wait_deadline = asyncio.get_running_loop().time() - SECONDS + 1
+        connection.wait_deadline = asyncio.get_running_loop().time() - LONGEST_DEADLINE_SECONDS + 1
         client.writer.write(request_text())
         proxy.frontend._sweep()
         assert (await client.read_answer()).status == 200
 
 
 @async_test
-async def test_a_request_unread_at_the_end_is_answered() -> None:
+async def test_an_unread_request_is_answered_when_the_process_stops() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client, other = await proxy.client(), await proxy.client()
         assert (await client.fetch()).status == 200
@@ -186,10 +186,10 @@
 
 
 @async_test
-async def test_connections_that_wait_to_be_accepted_at_the_end_are_taken() -> None:
+async def test_the_backlog_is_accepted_when_the_process_stops() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         waiting = []
-        for _ in range(40):  # more than one turn accepts; the loop does not run meanwhile
+        for _ in range(40):  # more than the loop accepts in one turn; it does not run meanwhile
             waiting.append(socket.create_connection(("127.0.0.1", proxy.port)))
             waiting[-1].sendall(request_text())
         proxy.frontend.presence.stop(asyncio.get_running_loop().time())
@@ -197,12 +197,13 @@
         proxy.frontend.close()
         for endpoint in waiting:
             client = Client(*await asyncio.open_connection(sock=endpoint))
-            assert (await client.read_answer()).status in (200, 503)  # the one host takes only some at a time
+            # Some are refused, as the only host has a concurrency limit.
+            assert (await client.read_answer()).status in (200, 503)
 
 
 @async_test
-async def test_a_connection_that_makes_room_ends_at_once() -> None:
-    """Were it to end a turn later, a request that came meanwhile would be reset with it."""
+async def test_an_evicted_connection_ends_at_once() -> None:
+    """If it ended a turn of the loop later, a request that arrived in between would be reset with it."""
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         assert (await client.fetch()).status == 200
@@ -211,4 +212,4 @@
         endpoint = client.writer.get_extra_info("socket")
         with socket.socket(fileno=socket.dup(endpoint.fileno())) as seen:
             seen.setblocking(False)
-            assert seen.recv(1) == b""  # the loop has had no turn yet
+            assert seen.recv(1) == b""  # before any turn of the loop
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -1,4 +1,4 @@
-"""Requests whose bodies are passed on as they come: a server has no work from them before their last byte."""
+"""Requests with streamed bodies: a host has no work from them before their last byte."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 TIMEOUT = 400 * MS
 
 
-def balancer_of(count: int, limit: float) -> Balancer:
+def balancer_with_hosts(count: int, limit: float) -> Balancer:
     balancer = Balancer(Settings(CLASSES, max_attempts=4), seed=1)
     balancer.handle(ServerList(Update.FULL, servers(count)), SECOND)
     for host in balancer._hosts.values():
@@ -41,8 +41,8 @@
 
 
 def upload(balancer: Balancer, now: int = SECOND) -> Send:
-    (sent,) = sends(balancer.handle(Request(UPLOAD, BUY.name, TIMEOUT, streams_body=True), now))
-    return sent
+    (attempt,) = sends(balancer.handle(Request(UPLOAD, BUY.name, TIMEOUT, streams_body=True), now))
+    return attempt
 
 
 def in_flight(balancer: Balancer) -> int:
@@ -50,50 +50,50 @@
     return balancer._total_in_flight
 
 
-def test_an_upload_on_its_way_takes_no_place_of_others() -> None:
-    """It did: uploads of some seconds held up to a quarter of all places, and reads were refused for them."""
-    balancer = balancer_of(1, limit=1)
+def test_an_incomplete_upload_does_not_count_as_in_flight() -> None:
+    """Uploads that took seconds once held up to a quarter of all concurrency, and reads were refused."""
+    balancer = balancer_with_hosts(1, limit=1)
     upload(balancer)
     assert in_flight(balancer) == 0
     assert sends(balancer.handle(Request(OTHER, READ.name, TIMEOUT), SECOND))
     assert in_flight(balancer) == 1
 
 
-def test_it_takes_one_once_its_body_is_here() -> None:
-    balancer = balancer_of(1, limit=1)
+def test_an_upload_counts_as_in_flight_once_its_body_is_complete() -> None:
+    balancer = balancer_with_hosts(1, limit=1)
     upload(balancer)
-    for _ in range(2):  # told twice, it counts once
+    for _ in range(2):  # a repeated event counts once
         assert not balancer.handle(BodyReceived(UPLOAD), 5 * SECOND)
     assert in_flight(balancer) == 1
     (answer,) = balancer.handle(Request(OTHER, READ.name, TIMEOUT), 5 * SECOND)
     assert isinstance(answer, Refuse)
 
 
-@pytest.mark.parametrize("body_is_here", [False, True])
-@pytest.mark.parametrize("how", ["answered", "reset", "answer begins", "client leaves"])
-def test_its_place_is_free_again_however_it_ends(how: str, body_is_here: bool) -> None:
-    balancer = balancer_of(1, limit=4)
+@pytest.mark.parametrize("is_body_complete", [False, True])
+@pytest.mark.parametrize("ending", ["answered", "reset", "answer begins", "client leaves"])
+def test_an_upload_no_longer_counts_once_it_has_ended(ending: str, is_body_complete: bool) -> None:
+    balancer = balancer_with_hosts(1, limit=4)
     server = upload(balancer).server
     now = 3 * SECOND
-    if body_is_here:
+    if is_body_complete:
         balancer.handle(BodyReceived(UPLOAD), now)
-    if how == "client leaves":
+    if ending == "client leaves":
         balancer.handle(RequestGone(UPLOAD), now)
         balancer.handle(AttemptEnded(UPLOAD, 0, server, Outcome.CANCELLED, now, True), now)
-    elif how == "answer begins":
+    elif ending == "answer begins":
         balancer.handle(StreamStarted(UPLOAD, 0, server, 20 * MS), now)
         balancer.handle(BodyReceived(UPLOAD), now)  # a host may answer before it has the whole request
     else:
-        outcome = Outcome.OK if how == "answered" else Outcome.RESET
+        outcome = Outcome.OK if ending == "answered" else Outcome.RESET
         balancer.handle(AttemptEnded(UPLOAD, 0, server, outcome, now, outcome is Outcome.OK), now)
     assert in_flight(balancer) == 0
-    balancer.handle(BodyReceived(UPLOAD), now)  # late, or for nobody
+    balancer.handle(BodyReceived(UPLOAD), now)  # after the end it has no effect
     assert in_flight(balancer) == 0
 
 
-def test_its_time_begins_with_the_end_of_its_body() -> None:
-    """Its first server can't be reached, long after an ordinary request's time is up: there is another."""
-    balancer = balancer_of(4, limit=4)
+def test_the_deadline_of_an_upload_counts_from_the_end_of_its_body() -> None:
+    """A failure to connect long after an ordinary request's deadline still leads to another attempt."""
+    balancer = balancer_with_hosts(4, limit=4)
     first = upload(balancer)
     now = SECOND + 5 * TIMEOUT
     failed = AttemptEnded(UPLOAD, 0, first.server, Outcome.CONNECT_FAILED, TIMEOUT, False)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Every row of the outcome table, and what becomes of connections."""
+"""The outcome of each kind of attempt, and when the connection pool reuses or closes a connection."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Sender:
-    """Sends to one host and keeps what came of each attempt."""
+    """Sends attempts to one host and records their outcomes."""
 
     def __init__(
         self, port: int, idle_time: float = 60.0, limit: int = 10, connect_time: float = 1.0
@@ -55,12 +55,12 @@
         self.results.append((outcome, answer))
 
     async def until_reusable(self) -> None:
-        """Wait until any connection may be used again."""
+        """Wait until each idle connection may be reused."""
         idle = self.upstream._hosts[HOST].idle
         await wait_until(lambda: all(connection.reusable_from <= self.upstream.now() for connection in idle))
 
     async def outcome(self, message: Message = PAGE, immediately: bool = False) -> Outcome:
-        """Send, over a connection that rests no more unless it is to be at once; what came of it."""
+        """Send a request and return its outcome; wait for the reuse delay first unless `immediately`."""
         if not immediately:
             await self.until_reusable()
         count = len(self.results)
@@ -87,7 +87,7 @@
         (answers_with(400), Outcome.ERROR),
         (answers_with(503, X_Not_Run="1"), Outcome.REJECTED),
         (answers_with(504, X_Not_Run="1"), Outcome.REJECTED),
-        (answers_with(503), Outcome.ERROR),  # nothing proves that it did not run
+        (answers_with(503), Outcome.ERROR),  # without the header it may have run
         (answers_with(504), Outcome.ERROR),
         (answers_with(500, X_Not_Run="1"), Outcome.ERROR),
         (resets_connection, Outcome.RESET),
@@ -104,7 +104,7 @@
 @async_test
 async def test_refused_connection_is_connect_failed() -> None:
     with socket.socket() as unlistening:
-        unlistening.bind(("127.0.0.1", 0))  # bound, but it does not listen
+        unlistening.bind(("127.0.0.1", 0))  # bound, but not listening
         assert await Sender(unlistening.getsockname()[1]).outcome() is Outcome.CONNECT_FAILED
 
 
@@ -114,7 +114,7 @@
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         waiting = []
-        for _ in range(3):  # a full queue drops what comes next, as a host that has vanished does
+        for _ in range(3):  # a full queue ignores further connections, like a host that has vanished
             other = socket.socket()
             other.setblocking(False)
             other.connect_ex(full.getsockname())
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("size", [40_000, 32 * 1024 * 1024])
 @async_test
 async def test_break_before_the_last_request_byte_is_connect_failed(size: int) -> None:
-    """The host got a part of it, be the rest large or small."""
+    """The host has received a part of the request; the rest is still in the send buffer, little or much."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
@@ -137,7 +137,7 @@
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1000)
-        await answers_with()(PAGE, writer)  # the first is small, and answered
+        await answers_with()(PAGE, writer)  # the first request is small, and answered
         await reader.read(1000)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await broken.wait()
@@ -236,7 +236,7 @@
 @pytest.mark.parametrize("stray", [b"", PAGE_4])
 @async_test
 async def test_connection_with_unread_data_is_not_reused(stray: bytes) -> None:
-    """Its end, or a second copy of the last answer, is here, but the loop has not read it yet."""
+    """The end of the connection, or a duplicate of the last answer, has arrived, but was not read yet."""
     async with scripted_servers(answers_with(body=b"good")) as (host,):
         sender = Sender(host.port)
         await sender.outcome()
@@ -258,11 +258,11 @@
 
 @async_test
 async def test_late_duplicate_answer_is_not_given_to_the_next_request() -> None:
-    """It comes as the next request is here already, which took another connection."""
+    """The duplicate arrives while the next request is in progress, which has used another connection."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(host.requests) == 1:
-            clock[0] += 0.1  # its answer took so long
+            clock[0] += 0.1  # the time that the answer took
         else:
             await answers_with(body=b"first")(request, host.writers[0])
         await answers_with(body=b"second" if len(host.requests) > 1 else b"first")(request, writer)
@@ -278,7 +278,7 @@
         assert host.connections == 2
         clock[0] += REUSE_DELAY_SECONDS
         assert await sender.outcome() is Outcome.OK
-        assert host.connections == 2, "rested, it is used again"
+        assert host.connections == 2, "after the delay it is reused"
 
 
 @async_test
@@ -287,7 +287,7 @@
         sender = Sender(host.port)
         clock = [sender.upstream.now()]
         replace_method(sender.upstream, "now", lambda: clock[0])
-        for _ in range(3):  # at once, by its clock
+        for _ in range(3):  # answered in no time, by the test's clock
             assert await sender.outcome() is Outcome.OK
         assert host.connections == 1
 
@@ -313,7 +313,7 @@
 )
 @async_test
 async def test_valid_answer_counts_whatever_follows_it(surplus: bytes) -> None:
-    """Its connection does not: what came behind would be taken for the next answer."""
+    """Its connection is not reused: the bytes behind the answer would be taken for the next one."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(PAGE_4 + (surplus if len(host.requests) == 1 else b""))
@@ -380,7 +380,7 @@
     connect = loop.sock_connect
 
     async def late(endpoint: socket.socket, address: Any) -> None:
-        """The reset is there before whoever waits for the connection has its turn."""
+        """Return only after the reset has arrived, as if the loop ran late."""
         await connect(endpoint, address)
         await wait_until(lambda: is_readable(endpoint))
 
@@ -418,7 +418,7 @@
 async def test_attempt_still_connecting_to_a_draining_host_is_not_sent() -> None:
     async with scripted_servers(answers_with()) as (host,):
         sender = Sender(host.port)
-        sender.start()  # its connection is not up before the loop has turned
+        sender.start()  # the connection is established in a later turn of the loop
         sender.list_host(host.port, State.DRAINING)
         assert [outcome for outcome, _ in sender.results] == [Outcome.NOT_SENT]
         await wait_until(lambda: sender.upstream.descriptors_in_use == 0)
@@ -457,7 +457,7 @@
         sender.upstream.update([other.member()], complete=False)
         ends: list[Outcome] = []
         expires = asyncio.get_running_loop().time() + 30
-        for _ in range(2):  # the second finds no room, as nothing is idle
+        for _ in range(2):  # the second one is over the limit, as no connection is idle
             attempt = sender.upstream.send(
                 hashed_server_id(other.name), PAGE, expires, lambda _, outcome, __: ends.append(outcome)
             )
--- a/whinrouter/__init__.py
+++ b/whinrouter/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a load-balancing HTTP proxy."""
+"""A load-balancing HTTP gateway; the classes of its decision module are exported here."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import what is named when it is asked for: the configuration tool starts without the decisions."""
+    """Import an exported class at its first use, as the configuration tool starts without the decisions."""
     if name == "Balancer":
         from whinrouter.balance import Balancer  # noqa: PLC0415
 
--- a/whinrouter/__main__.py
+++ b/whinrouter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m whinrouter`: signals are held before anything large is imported."""
+"""`python -m whinrouter`: blocks signals before anything large is imported."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def main() -> int:
-    """Run the gateway as the platform tells it; the exit status."""
+    """Run the gateway by the platform's configuration; return the exit status."""
     signals.block()
-    from whinrouter.platform_gateway import main as gateway  # noqa: PLC0415 - after signals are held
+    from whinrouter.platform_gateway import main as gateway  # noqa: PLC0415 - after signals are blocked
 
     return gateway()
 
--- a/whinrouter/balance.py
+++ b/whinrouter/balance.py
@@ -1,7 +1,14 @@
-"""The decisions; its types, settings, events and actions stand in interface.py.
+"""The decision module; interface.py defines its types, settings, events and actions.
 
-A `Balancer` takes one event and its time and returns the actions to carry out. It reads no clock, does no I/O
-and shares nothing; given the same settings, seed and events it does the same.
+A `Balancer` takes one event and its time, and returns the actions to carry out. It reads no clock, does no
+I/O and shares no state: the same settings, seed and events give the same actions.
+
+A request is sent to the less loaded of two random servers that admit it. If that attempt fails, or is late
+and hedges are allowed, the other one is its fallback; further attempts come from a retry budget. A server
+admits by its concurrency limit, its circuit breakers, and slow start while it is cold. Under overload,
+requests are shed (`shedding.py`). A request that no server admits is refused, or failed if it may have run.
+
+In the code, `host` is the state that is kept of a server (`ServerState`), and `server` a `Server` or its id.
 """
 
 from __future__ import annotations
@@ -24,37 +31,42 @@
 from whinrouter.shedding import LoadShedder
 from whinrouter.slowstart import BASE_RATE_FRACTION, TOKEN_LIFETIME_FRACTION, SlowStart
 
-MAX_OPEN_SHARE = 0.5  # no closed breaker counts a failure while this share of them is open
-MAX_CLASS_OPEN_SHARE = 0.75  # likewise of the breakers for a class; the servers still serve the others
+# Share of open breakers from which closed ones count no failures: the trouble is then shared by all servers,
+# and breakers would refuse work that the fleet can do.
+MAX_OPEN_SHARE = 0.5
+MAX_CLASS_OPEN_SHARE = 0.75  # the same for the breakers of one class; other classes are still served
 
 BALANCERS_PER_SERVER = 20  # balancers that share a server, where there are more
-MIN_SUBSET_SERVERS = 4  # servers that a balancer keeps to at least
+MIN_SUBSET_SERVERS = 4  # least size of a balancer's subset
 
-TARGET_AIM_SHARE = 0.5  # share of the aim within which answers come in while a server has room
-SCATTER_MULTIPLE = (
-    2.0  # typical times within which answers may come in for no other reason than their own scatter
-)
+TARGET_AIM_SHARE = 0.5  # share of the aim within which a server with spare capacity answers
+SCATTER_MULTIPLE = 2.0  # medians within which answers scatter without any load
 
-LATE_SHARE = 0.005  # share of the attempts of a class that are out past its mark, and so late
-# Its mark, in usual times. How far a class's own answers scatter differs by deployment: at 2.5 usual times
-# one in six of an exponential kind was late, and three in a row opened the breakers of hosts that were well.
+LATE_SHARE = 0.005  # share of a class's attempts that should exceed its late multiple
+# The late multiple of a class: multiples of the expected latency after which an attempt is late. It adapts,
+# as the scatter of latencies differs by deployment: at a fixed 2.5, one in six of exponentially distributed
+# latencies was late, and three in a row opened the breakers of healthy hosts.
 INITIAL_LATE_MULTIPLE, MIN_LATE_MULTIPLE = 4.0, 2.0
-LATE_MULTIPLE_STEP = 0.2  # by which one attempt that is out past its mark moves it
-RETRY_BUDGET_SHARE = 0.1  # retry budget: attempts past the fallback, and hedges, for each request on average
-RETRY_BUDGET_BURST = 20.0  # saved up at most, by all balancers together
-LATENCY_STEP = 1.04  # by which the usual time follows each answer
-KIND_RATIO_STEP = 1.02  # and the pace of a kind, which all of its servers share
-ANSWER_GAP_STEP = 0.05  # and the mean time between two answers
-
-WORK_WINDOW = 2 * SECOND  # over which the work that servers did is averaged
-WARM_SUM_INTERVAL = 100_000  # not at every look: with a hundred cold servers that overran the CPU share
-
-# A time-out is none: the client's own limit cut it short. Being late is judged before, by peers.
+LATE_MULTIPLE_STEP = 0.2  # relative change of the late multiple by one late attempt
+RETRY_BUDGET_SHARE = 0.1  # attempts beyond the fallback, and hedges, that each request adds to the budget
+RETRY_BUDGET_BURST = 20.0  # most that all balancers together may save up
+LATENCY_STEP = 1.04  # factor by which each answer moves a median latency
+KIND_RATIO_STEP = 1.02  # the same for the latency ratio of a kind, which all its servers share
+ANSWER_GAP_STEP = 0.05  # weight of a new gap in the mean time between two answers
+
+WORK_WINDOW = 2 * SECOND  # over which the work done is averaged
+# Microseconds between two sums of warm capacity. A sum at each choice exceeded the CPU budget with 100 cold
+# servers.
+WARM_SUM_INTERVAL = 100_000
+
+# Outcomes that count as failures of a server. TIMEOUT is not one: it is the client's own limit, and late
+# attempts are counted before, by comparison with the other servers.
 SERVER_FAILURES = {Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.UNKNOWN}
-# What says nothing of load: where the way to the hosts broke one connection in ten, all limits stood at their
-# least and half of the requests were refused.
+# Outcomes that are not caused by load. A network that broke one connection in ten brought all limits to their
+# minimum, and half of the requests were refused.
 LOAD_NEUTRAL_OUTCOMES = {Outcome.CANCELLED, Outcome.RESET, Outcome.LOCAL_FAILURE}
-# Connections that never come up or break tell of the host or the way to it, not of what was asked.
+# Outcomes that count as failures of a class at a server. Failed and broken connections are not among them:
+# they depend on the host or the network, not on what was requested.
 CLASS_FAILURES = {Outcome.ERROR, Outcome.REJECTED, Outcome.UNKNOWN}
 
 
@@ -63,52 +75,43 @@
 
 
 class Balancer:
+    """The decisions of one balancer."""
+
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._random = Random(seed)
         self._classes = {request_class.name: request_class for request_class in settings.classes}
-        self._hosts: dict[ServerId, ServerState] = {}  # those that may be sent to
+        self._hosts: dict[ServerId, ServerState] = {}  # the ready servers
         self._pending: dict[RequestId, PendingRequest] = {}
-        self._work_done: dict[str, float] = {}  # work done by each kind of server, averaged
+        self._work_done: dict[str, float] = {}  # by kind of server, decaying over `WORK_WINDOW`
         self._work_counted_at = 0
-        self._retry_budget = self._max_retry_budget = max(
-            1.0, RETRY_BUDGET_BURST / settings.balancers
-        )  # extra attempts
-        self._warm_servers: dict[str, float] = {}  # servers of each kind, counted by warmth
+        # Attempts that may start beyond the first attempt and the fallback of each request.
+        self._retry_budget = self._max_retry_budget = max(1.0, RETRY_BUDGET_BURST / settings.balancers)
+        self._warm_servers: dict[str, float] = {}  # by kind, the sum of the servers' capacity shares
         self._warm_summed_at = -WARM_SUM_INTERVAL
         self._shedder = LoadShedder(settings)
-        self._subset: list[ServerState] = []  # its own, for drawing at random
-        self._subset_members: set[ServerState] = set()  # likewise, for looking up
-        self._limits_are_pooled = (
-            False  # so many balancers that one's part of a host may be less than a request
-        )
-        self._total_in_flight, self._total_limit = 0, 0.0  # sums over the hosts, counted anew with each list
-        self._subset_in_zone: list[ServerState] = []  # those of them in this balancer's zone
-        self._reserve: list[ServerState] = []  # those outside its subset, in the order in which they stand in
-        self._longest_timeouts: dict[
-            str, int
-        ] = {}  # the longest time a client has left to its first try, by class
-        self._unit_latencies: dict[
-            str, float
-        ] = {}  # median time of an answer by class, for each unit of cost
-        self._median_latencies: dict[str, float] = {}  # likewise, whatever the cost
-        self._kind_latency_ratios: dict[
-            str, float
-        ] = {}  # median time of an answer of a kind of server, against the usual
-        self._answer_gap, self._last_answer_at = (
-            0.0,
-            0,
-        )  # mean time between two answers, and when the last one came
-        self._late_multiples: dict[
-            str, float
-        ] = {}  # by class, the multiple of it after which an attempt is late
+        self._subset: list[ServerState] = []  # the servers that this balancer prefers
+        self._subset_members: set[ServerState] = set()  # the same, for lookups
+        # There are so many balancers that one's share of a server's limit may be less than one request.
+        self._limits_are_pooled = False
+        self._total_in_flight, self._total_limit = 0, 0.0  # sums over all hosts, recomputed with each list
+        self._subset_in_zone: list[ServerState] = []  # the part of the subset in this balancer's zone
+        self._reserve: list[ServerState] = []  # servers outside the subset, in the order of their use
+        self._longest_timeouts: dict[str, int] = {}  # by class, the longest timeout of a first try
+        self._unit_latencies: dict[str, float] = {}  # by class, the median latency per unit of cost
+        self._median_latencies: dict[str, float] = {}  # by class, the median latency at any cost
+        # By kind of server, the median ratio of its latencies to the expected ones.
+        self._kind_latency_ratios: dict[str, float] = {}
+        self._answer_gap, self._last_answer_at = 0.0, 0  # mean time between two answers; moment of the latest
+        self._late_multiples: dict[str, float] = {}  # by class; see INITIAL_LATE_MULTIPLE
 
     @property
     def settings(self) -> Settings:
-        """Those in force."""
+        """The settings in force."""
         return self._settings
 
     def handle(self, event: Event, now: int) -> list[Action]:
+        """Take one event and return the actions that follow from it."""
         if isinstance(event, Request):
             return self._on_request(event, now)
         if isinstance(event, AttemptEnded):
@@ -127,9 +130,9 @@
         return self._finish(pending) if pending else []
 
     def update_settings(self, settings: Settings) -> None:
-        """Go on by other settings. Requests under way keep their class, and get no more attempts than either.
+        """Replace the settings. A pending request keeps its class and the lower of both attempt limits.
 
-        What was learnt of hosts stays, as it is theirs; what was learnt of a class goes with the class.
+        What was learned about servers stays. What was learned about a class goes if the class does.
         """
         self._settings = settings
         self._classes = {request_class.name: request_class for request_class in settings.classes}
@@ -153,7 +156,7 @@
         self._update_subset([])
 
     def export_state(self, now: int) -> LearnedState:
-        """What another balancer in this one's place goes on from, in spans from now."""
+        """Return what a successor of this balancer needs, with all moments as spans from now."""
         servers = tuple(host.export_state(now) for host in self._hosts.values())
         unit_latencies, median_latencies, late_multiples = (
             dict(self._unit_latencies),
@@ -179,7 +182,7 @@
         )
 
     def restore_state(self, learned: LearnedState, share: float, now: int) -> None:
-        """Go on from what another learnt of the same servers, for a part of its requests."""
+        """Take over what another balancer learned about the same servers, for a share of its requests."""
         for server in learned.servers:
             host = self._hosts.get(server.server_id)
             if host is not None and host.info.started_at == moment_of(server.age, now):
@@ -198,14 +201,15 @@
         self._assign_limits([])
 
     def scale_limits(self, factor: float) -> None:
-        """It has so many times the requests that it had: so has each server's limit."""
+        """Multiply each server's limit, as this balancer gets that multiple of its former requests."""
         for host in self._hosts.values():
             host.limit = max(host.min_limit, host.limit * factor)
         self._assign_limits([])
 
     def _on_server_list(self, event: ServerList, now: int) -> list[Action]:
+        """Update the servers. What is known about one stays unless it has restarted."""
         subscribes = self._settings.must_subscribe
-        if event.update is Update.ERROR:  # the list in hand stays in force; ask again, not all at once
+        if event.update is Update.ERROR:  # the current list stays in force; retry at a random time
             return (
                 [SetTimer(round(SECOND * self._random.uniform(0.5, 1.5)), "subscribe")] if subscribes else []
             )
@@ -219,7 +223,7 @@
                 self._hosts.pop(server_id, None)
                 continue
             if host is None or host.info.started_at != server.started_at:
-                # A restarted server is a new one: cold, and its breaker fresh.
+                # A restarted server is cold, and nothing is known about it.
                 host = self._hosts[server_id] = ServerState(
                     server, self._random, Breaker(self._random), SlowStart(now)
                 )
@@ -233,13 +237,14 @@
         return [Subscribe()] if subscribes and event.update is Update.STALE else []
 
     def _update_subset(self, new_hosts: list[ServerState]) -> None:
+        """Recompute the limits and the subset after a change of servers or settings."""
         self._assign_limits(new_hosts)
         self._subset, self._reserve = self._compute_subset()
         self._subset_members = set(self._subset)
         self._subset_in_zone = [host for host in self._subset if host.info.zone == self._settings.zone]
 
     def _assign_limits(self, new_hosts: list[ServerState]) -> None:
-        """Give each server its bounds, by its size among those there are, and those just met their limits."""
+        """Set each server's minimum limit by its share of the capacity, and the initial limit of new ones."""
         total_capacity = sum(host.capacity for host in self._hosts.values())
         for host in self._hosts.values():
             limit_share = host.capacity * len(self._hosts) / total_capacity / self._settings.balancers
@@ -251,10 +256,12 @@
         self._total_limit = sum(host.limit for host in self._hosts.values())
 
     def _compute_subset(self) -> tuple[list[ServerState], list[ServerState]]:
-        """This balancer's servers, and the others in the order in which they stand in.
+        """Return this balancer's servers, and the others in the order in which they serve as a reserve.
 
-        Hundreds of balancers with a connection each fill every server's table, and the rest cannot connect.
-        Balancers in turn cut the same shuffled ring into equal slices, so each server serves as many of them.
+        If each of hundreds of balancers connected to every server, the connection tables of the servers would
+        be full and some balancers could not connect. So a group of balancers shuffles all servers alike and
+        divides them into equal slices, one for each balancer; the next group shuffles them anew. Each server
+        is then in the subset of equally many balancers.
         """
         balancer_count, server_count = self._settings.balancers, len(self._hosts)
         slices = max(1, min(balancer_count // BALANCERS_PER_SERVER, server_count // MIN_SUBSET_SERVERS))
@@ -264,7 +271,7 @@
         return shuffled[start:end], shuffled[end:] + shuffled[:start]
 
     def _min_capacity_share(self, host: ServerState, now: int) -> float:
-        """The least share of its capacity that a server has by now."""
+        """Return the least share of its capacity that a server has by now."""
         ramp_time, started_at = self._settings.ramp_time, host.info.started_at
         if not started_at or now >= started_at + ramp_time:
             return 1.0
@@ -272,7 +279,7 @@
         return cold_share + (1 - cold_share) * max(0, now - started_at) / ramp_time
 
     def _record_work(self, kind: str, cost: float, now: int) -> None:
-        """Add to the work that servers of a kind did lately."""
+        """Add to the recent work of a kind of server."""
         kept_share, work_done = max(0.0, 1 - (now - self._work_counted_at) / WORK_WINDOW), self._work_done
         for known_kind in work_done:
             work_done[known_kind] *= kept_share
@@ -280,10 +287,10 @@
         self._work_counted_at = now
 
     def _slow_start_admits(self, host: ServerState, pending: PendingRequest, now: int) -> bool:
-        """Whether a cold server may be sent a request; its base rate is a part of the work done lately.
+        """Whether a cold server may be sent a request. Its base rate is a share of the recent work done.
 
-        Work asked for would not do: retries swell it. Each balancer's shares follow its own traffic, which
-        goes to its own servers: they are the whole that it is divided among.
+        The base rate must not follow the work asked for, as retries inflate that. A balancer's work goes to
+        the servers of its subset, so it is divided among these alone.
         """
         if now >= self._warm_summed_at + WARM_SUM_INTERVAL:
             self._warm_servers = {}
@@ -296,20 +303,21 @@
         cost, settings = self._cost(pending), self._settings
         rate = self._work_done.get(host.info.kind, 0.0) / WORK_WINDOW / self._warm_servers[host.info.kind]
         rate *= self._min_capacity_share(host, now) * settings.cold_overload_multiple * BASE_RATE_FRACTION
-        # A trickle even where nothing is known yet; split, as that of many balancers alone pushed one over.
+        # A minimum where no work is known yet. It is divided by the number of balancers: many of them
+        # together overloaded a cold server with this minimum alone.
         rate = max(rate, cost / WORK_WINDOW / settings.balancers)
         return host.slow_start.admits(
             cost, rate, TOKEN_LIFETIME_FRACTION * settings.cold_overload_window, now, self._random
         )
 
     def _on_request(self, event: Request, now: int) -> list[Action]:
+        """Send a new request to a server, or answer it at once."""
         request_class = self._classes.get(event.class_name)
-        if request_class is None:  # a class never announced may hold anything: it must not run twice
+        if request_class is None:  # an unknown class may have any effect: its requests must not run twice
             request_class = RequestClass("", event.timeout or 1, event.timeout or 1, Effect.AT_MOST_ONCE)
-            self._classes[request_class.name] = (
-                request_class  # one for all of them: names are at a peer's will
-            )
-        # With nothing out, nobody can tell that an overload is over until another is let through.
+            # One class for all unknown names, as peers choose the names and memory must stay bounded.
+            self._classes[request_class.name] = request_class
+        # Without pending requests, only an admitted request can show that an overload is over.
         has_no_feedback = not self._pending
         pending = PendingRequest(event, request_class, now, now + event.timeout, self._settings.max_attempts)
         pending.body_incomplete = event.streams_body
@@ -323,7 +331,7 @@
         return self._attempt_or_answer(pending, now)
 
     def _on_adopted(self, event: RequestAdopted, now: int) -> list[Action]:
-        """A request of another balancer's, whose server has a part of its body: only its end is decided."""
+        """Take over a request whose server has a part of its body: only its final answer is decided here."""
         announced = self._classes.get(event.class_name)
         aim = announced.aim if announced is not None else event.timeout
         request_class = RequestClass(event.class_name, aim, event.timeout, Effect.AT_MOST_ONCE)
@@ -344,14 +352,13 @@
         return []
 
     def _is_late_retry(self, event: Request, request_class: RequestClass) -> bool:
-        """Whether a client's retry comes after the aim; under overload it keeps what is in time waiting."""
+        """Whether a client's retry comes after the aim: under overload it would delay requests in time."""
         if not event.is_retry:
             self._longest_timeouts[request_class.name] = max(
                 event.timeout, self._longest_timeouts.get(request_class.name, 0)
             )
-        is_shortened = event.is_retry and event.timeout < self._longest_timeouts.get(
-            request_class.name, 0
-        )  # cut short by the deadline
+        # The deadline shortens the timeout of a retry by the time since the first try.
+        is_shortened = event.is_retry and event.timeout < self._longest_timeouts.get(request_class.name, 0)
         return (
             is_shortened
             and request_class.late_worth == 0
@@ -359,16 +366,16 @@
         )
 
     def _cost(self, pending: PendingRequest) -> float:
-        return pending.request.cost or self._expected_latency(
-            pending
-        )  # no hint: the usual time stands for work
+        """Return the estimated work of a request."""
+        return pending.request.cost or self._expected_latency(pending)  # by default, latency stands for work
 
     def _expected_latency(self, pending: PendingRequest) -> float:
-        """How long an answer to such a request usually takes, from any server."""
+        """Return the usual latency of such a request, from any server."""
         cost, unit_latency = pending.request.cost or 1, self._unit_latencies.get(pending.request_class.name)
         return pending.request_class.aim / 4 if unit_latency is None else unit_latency * cost
 
     def _attempt_or_answer(self, pending: PendingRequest, now: int) -> list[Action]:
+        """Start another attempt; if there is none and none is running, give the final answer."""
         actions = self._start_attempt(pending, now) or []
         if actions or pending.running_attempts:
             return actions
@@ -376,11 +383,13 @@
         return self._refuse_or_fail(pending)
 
     def _start_attempt(self, pending: PendingRequest, now: int) -> list[Action]:
+        """Send the request if the rules, the retry budget and a server allow it; else do nothing."""
         is_expired = now >= pending.deadline and not pending.body_incomplete
         if is_expired or len(pending.attempts) >= min(pending.max_attempts, self._settings.max_attempts):
             return []
         uses_budget = bool(pending.attempts) and (len(pending.attempts) > 1 or bool(pending.running_attempts))
-        # A first try and its fallback are free; more from hundreds of balancers swamp what still works.
+        # A first attempt and its fallback need no budget. More than these, from hundreds of balancers, would
+        # overload the servers that still work.
         if self._retry_budget < uses_budget or (pending.attempts and not self._may_repeat(pending, now)):
             return []
         host = self._choose_server(pending, now)
@@ -390,10 +399,12 @@
         return self._send(pending, host, now)
 
     def _refuse_or_fail(self, pending: PendingRequest) -> list[Action]:
+        """Give the final answer to a request that is not served."""
         answer = Refuse if self._may_refuse(pending) else Fail
         return [answer(pending.request.id), *self._finish(pending)]
 
     def _send(self, pending: PendingRequest, host: ServerState, now: int) -> list[Action]:
+        """Send the request to a server, with a timer for the moment at which the attempt is late."""
         request, number, expected = pending.request.id, len(pending.attempts), self._expected_latency(pending)
         late_multiple = self._late_multiples.get(pending.request_class.name, INITIAL_LATE_MULTIPLE)
         trials = host.breaker.start_attempt(), host.class_breaker(pending.request_class).start_attempt()
@@ -404,24 +415,22 @@
         if not attempt.awaits_body:
             self._occupy(host)
         host.slow_start.record_send(self._cost(pending))
-        late_delay = max(
-            1, ceil(late_multiple * expected)
-        )  # rounded down, it would find that it is not late yet
+        late_delay = max(1, ceil(late_multiple * expected))  # rounded down, the attempt would not be late yet
         send = Send(request, host.info.id, 0, self._dedup_window_end(pending))
         return [send, SetTimer(late_delay, f"{request}:{number}", request, number)]
 
     def _dedup_window_end(self, pending: PendingRequest) -> int:
-        """When those that drop a keyed request's repeats may forget it; 0 for any other.
+        """Return the end of a keyed request's dedup window, or 0 for any other request.
 
-        All of its attempts have to begin by then, once there is more than one that may run: be it the first,
-        whose connection may come up after another has run.
+        Once more than one of its attempts may run, all of them must be written before this moment. That
+        includes the first: its connection may be established after another attempt has run.
         """
         first = pending.first_possibly_run if pending.request_class.effect is Effect.KEYED else None
         return first.sent_at + pending.request_class.dedup_window if first is not None else 0
 
     def _choose_server(self, pending: PendingRequest, now: int) -> ServerState | None:
-        """Two random servers that admit: the less busy first, the other as its fallback."""
-        # Each host takes one at least, but a limit may be less: then their sum is kept.
+        """Choose the less loaded of two random servers that admit the request; the other is its fallback."""
+        # Each host admits at least one request, even if its limit is below one; so their sum is bounded here.
         if self._limits_are_pooled and self._total_in_flight >= max(1.0, self._total_limit):
             return None
         tried = {attempt.server.id for attempt in pending.attempts}
@@ -446,20 +455,20 @@
         return first
 
     def _candidates(self, key: str | None) -> Iterator[ServerState]:
-        """The servers in random order; where they warm to keys, as the hash of the key ranks them."""
+        """Yield the servers in random order; where keys warm servers, first in the hash order of the key."""
         if key is not None and self._settings.warm_keys:
             yield from sorted(self._subset, key=lambda host: _hash_rank(key, host.info.id))
-        if self._settings.cross_zone_price > 0:  # stay while servers here have room to spare
+        if self._settings.cross_zone_price > 0:  # prefer this zone while its servers have spare capacity
             local_hosts = self._with_spare_capacity(self._subset_in_zone)
             yield from self._draw(local_hosts) if len(local_hosts) > 1 else ()
         yield from self._draw(self._subset)
         yield from self._reserve
 
     def _with_spare_capacity(self, hosts: list[ServerState]) -> list[ServerState]:
-        """Those with room to spare.
+        """Return the hosts that are less than half full.
 
-        Of many balancers each has one request at a server or none, also where all of them drown it: there the
-        limits and what is in flight count together.
+        With many balancers, each has one request in flight at a host or none, even if all together overload
+        it. Then the sums over these hosts are compared instead.
         """
         if not self._limits_are_pooled:
             return [host for host in hosts if 2 * host.in_flight < host.limit]
@@ -467,10 +476,11 @@
         return hosts.copy() if 2 * in_flight < limit else []
 
     def _draw(self, hosts: list[ServerState]) -> Iterator[ServerState]:
-        """In random order, worked out only as far as it is asked for.
+        """Yield hosts in random order, computed lazily.
 
-        Of many balancers each has one request at a server or none, which tells little of how busy it is. Its
-        part of the limits and the pace of its kind tell more: those with the most are likely first.
+        With many balancers, the requests in flight from one of them tell little about a host's load. Its
+        limit, divided by the latency ratio of its kind, tells more: hosts with a higher quotient tend to come
+        first.
         """
         if not self._limits_are_pooled:
             yield from self._shuffled(hosts)
@@ -492,20 +502,20 @@
             yield hosts[index]
 
     def _admits(self, host: ServerState, pending: PendingRequest, now: int) -> bool:
+        """Whether a server may be sent this request now."""
         if not host.admits(pending.request_class, now):
             return False
         if pending.attempts and not self._in_dedup_group(host.info, pending):
             return False
         if not host.info.started_at or self._min_capacity_share(host, now) == 1:
             return True
-        if (
-            host not in self._subset_members
-        ):  # those whose own it is warm it; what others sent would come on top
+        # Only the balancers whose subset holds a cold host send to it; others would exceed what it bears.
+        if host not in self._subset_members:
             return False
         return self._slow_start_admits(host, pending, now)
 
     def _may_repeat(self, pending: PendingRequest, now: int) -> bool:
-        """Whether another attempt may start at all."""
+        """Whether another attempt may start."""
         if pending.body_consumed or (
             pending.running_attempts and (pending.request.streams_body or not self._settings.may_hedge)
         ):
@@ -519,7 +529,7 @@
         )
 
     def _in_dedup_group(self, server: Server, pending: PendingRequest) -> bool:
-        """A keyed request that may have run stays with the servers that drop its repeats."""
+        """Whether a server drops the repeats of this request, if it is keyed and may have run."""
         first = pending.first_possibly_run
         if (
             first is None
@@ -532,13 +542,14 @@
         return server.cell == first.server.cell
 
     def _may_refuse(self, pending: PendingRequest) -> bool:
-        """A refusal says that trying again is harmless."""
+        """Whether the request may be refused: a refusal says that a retry is safe."""
         request_class = pending.request_class
         if request_class.effect is Effect.IDEMPOTENT or pending.first_possibly_run is None:
             return True
         return request_class.effect is Effect.KEYED and request_class.scope is Scope.ALL
 
     def _on_attempt_ended(self, event: AttemptEnded, now: int) -> list[Action]:
+        """Learn from the outcome; start another attempt if the request has no answer yet."""
         pending, attempt = self._find(event.request, event.attempt)
         if pending is None or attempt is None:
             return []
@@ -552,7 +563,7 @@
         return self._finish(pending)
 
     def _on_stream_started(self, event: StreamStarted, now: int) -> list[Action]:
-        """The attempt is the client's now; how long its stream lasts says nothing of its server."""
+        """Release the server's slot: how long the stream lasts says nothing about the server."""
         pending, attempt = self._find(event.request, event.attempt)
         if pending is None or attempt is None:
             return []
@@ -571,7 +582,7 @@
         return self._finish(pending)
 
     def _on_body_received(self, event: BodyReceived, now: int) -> list[Action]:
-        """A server begins with a request's last byte: an upload that takes seconds is no load before that."""
+        """Count the request as load from now on: an upload in progress is no work for the server."""
         pending = self._pending.get(event.request)
         if pending is None or not pending.body_incomplete:
             return []
@@ -584,10 +595,12 @@
         return []
 
     def _occupy(self, host: ServerState) -> None:
+        """Count a request in flight."""
         host.in_flight += 1
         self._total_in_flight += 1
 
     def _release(self, host: ServerState, attempt: Attempt) -> None:
+        """Count a request no longer in flight, unless it awaited its body and so was never counted."""
         if attempt.awaits_body:
             return
         self._total_in_flight -= min(1, host.in_flight)
@@ -598,24 +611,25 @@
         found = pending.attempts[number : number + 1] if pending else []
         return pending, found[0] if found else None
 
-    def _host_of(self, attempt: Attempt) -> ServerState | None:  # none if it left or was restarted since
+    def _host_of(self, attempt: Attempt) -> ServerState | None:  # None if it left or has restarted since
         host = self._hosts.get(attempt.server.id)
         return host if host is not None and host.info.started_at == attempt.server.started_at else None
 
     def _record_outcome(
         self, host: ServerState, pending: PendingRequest, attempt: Attempt, now: int, ended_at: int
     ) -> None:
+        """Learn from an outcome: latencies, and the load and health of the server."""
         outcome, latency = attempt.outcome, ended_at - attempt.sent_at
         is_late = latency > TARGET_AIM_SHARE * pending.request_class.aim
         is_served = outcome is Outcome.OK
         if is_served:
             self._record_latency(host, pending, attempt, latency, now)
-        # Calling off what was not late yet, as when its client leaves, says nothing of the load.
+        # A cancelled attempt that was not late yet, as after its client left, says nothing about the load.
         if outcome is Outcome.OK or outcome is Outcome.TIMEOUT or (is_late and outcome is Outcome.CANCELLED):
             self._shedder.record_result(outcome is Outcome.OK and not is_late, now)
         if is_served:
             host.record_success(pending.request_class, attempt, now)
-        if not attempt.is_counted:  # else its verdict is given
+        if not attempt.is_counted:
             self._adjust_limit(host, pending, attempt, attempt.outcome, now, ended_at)
             if not is_served:
                 self._record_health(host, pending, attempt, now)
@@ -623,16 +637,14 @@
     def _record_latency(
         self, host: ServerState, pending: PendingRequest, attempt: Attempt, latency: int, now: int
     ) -> None:
-        """What an answer tells of its host's pace, of the usual time of its like, and of the work done."""
+        """Update the latency ratios, the latencies of the class and the work done."""
         class_name, cost = pending.request_class.name, pending.request.cost or 1
         self._update_kind_ratio(host, latency / self._expected_latency(pending), now)
         host.latency_ratio_at, host.latency_ratio = (
             now,
             host.latency_ratio + 0.2 * (latency / self._expected_latency(pending) - host.latency_ratio),
         )
-        if (
-            self._classes.get(class_name) is not pending.request_class
-        ):  # its class has changed, or there is none any more
+        if self._classes.get(class_name) is not pending.request_class:  # the settings have changed since
             self._record_work(host.info.kind, cost, now)
             return
         if self._min_capacity_share(host, now) < 1:
@@ -644,7 +656,7 @@
             1 / cost,
             unit_latency * LATENCY_STEP if latency / cost > unit_latency else unit_latency / LATENCY_STEP,
         )
-        if class_name:  # what was never announced may be anything: it must not tighten the others' room
+        if class_name:  # an unknown class may have any latency: it must not tighten the others' targets
             median = self._median_latencies.setdefault(class_name, latency)
             self._median_latencies[class_name] = max(
                 1, median * LATENCY_STEP if latency > median else median / LATENCY_STEP
@@ -652,7 +664,7 @@
         self._record_work(host.info.kind, pending.request.cost or unit_latency, now)
 
     def _update_kind_ratio(self, host: ServerState, latency_ratio: float, now: int) -> None:
-        """How far apart answers are, and how long those of a kind of server take against the usual."""
+        """Update the mean time between answers, and the latency ratio of a kind of server."""
         if self._last_answer_at:
             self._answer_gap += ANSWER_GAP_STEP * (now - self._last_answer_at - self._answer_gap)
         self._last_answer_at, kind = now, host.info.kind
@@ -664,7 +676,7 @@
         )
 
     def _update_late_multiple(self, pending: PendingRequest, is_late: bool) -> None:
-        """Move the mark of its class to where `LATE` of all attempts pass it."""
+        """Move the late multiple of a class so that `LATE_SHARE` of its attempts exceed it."""
         class_name = pending.request_class.name
         step = LATE_MULTIPLE_STEP * ((1 - LATE_SHARE) if is_late else -LATE_SHARE)
         self._late_multiples[class_name] = max(
@@ -680,6 +692,7 @@
         now: int,
         ended_at: int,
     ) -> None:
+        """Raise a server's limit after an answer in time, and cut it after a sign of overload."""
         limit_before = host.limit
         if outcome is Outcome.OK and ended_at - pending.arrived_at <= self._target_latency(pending):
             if not self._limits_are_pooled:
@@ -691,10 +704,10 @@
         self._total_limit += host.limit - limit_before
 
     def _target_latency(self, pending: PendingRequest) -> float:
-        """The time within which it is answered while a server has room.
+        """Return the time within which a server with spare capacity answers the request.
 
-        A class that leaves its answers more time than another must not crowd that one's servers: all are
-        held to the stretch of the tightest, but for what their own answers scatter by.
+        A class with a long aim must not crowd the servers of one with a short aim. So all classes are held to
+        the least ratio of aim to median latency, but never below the scatter of their own latencies.
         """
         class_name, medians = pending.request_class.name, self._median_latencies
         own_target = TARGET_AIM_SHARE * pending.request_class.aim
@@ -704,6 +717,7 @@
         return min(own_target, max(SCATTER_MULTIPLE, TARGET_AIM_SHARE * min_ratio) * medians[class_name])
 
     def _record_health(self, host: ServerState, pending: PendingRequest, attempt: Attempt, now: int) -> None:
+        """Count an attempt that was not served at its server's breakers."""
         if attempt.outcome in SERVER_FAILURES:
             self._record_failure(host, attempt, now)
         elif attempt.is_trial and attempt.outcome is not Outcome.OK:
@@ -717,7 +731,7 @@
         return host.is_silent(pending.request_class, attempt, self._expected_latency(pending), now)
 
     def _record_failure(self, host: ServerState, attempt: Attempt, now: int) -> None:
-        """Count a failure, unless trouble is shared: breakers must not refuse work that the fleet can do."""
+        """Count a failure, unless too many breakers are open already (see MAX_OPEN_SHARE)."""
         open_count = sum(not other.breaker.is_closed for other in self._hosts.values())
         if attempt.is_trial or open_count < MAX_OPEN_SHARE * len(self._hosts):
             host.breaker.record_failure(now, attempt.is_trial)
@@ -734,13 +748,14 @@
             (breaker.record_failure if is_failure else breaker.record_no_answer)(now, attempt.is_class_trial)
 
     def _on_late_timer(self, token: str, now: int) -> list[Action]:
-        """An attempt is out far longer than its like: a failure, as soon as it can be known."""
+        """Count a late attempt as a failure without waiting for its end, and start the fallback beside it."""
         pending, attempt = self._find(*map(int, token.split(":")))
         if pending is None or attempt is None or attempt.outcome is not None or attempt.is_counted:
             return []
         host = self._host_of(attempt)
-        # Where the usual time grew since, there is no second look: its hedges cost more than they gained.
-        # By the mark that it was sent with: the first that passes one moves it, and would hide the others.
+        # If the expected latency has grown meanwhile, the attempt is not checked again: hedges that late cost
+        # more than they gain. The late multiple is the one of the send: the first late attempt raises the
+        # current one, which would hide the others.
         if host is not None and now - attempt.sent_at >= attempt.late_multiple * self._expected_latency(
             pending
         ):
@@ -749,12 +764,12 @@
             self._record_failure(host, attempt, now)
             if attempt.is_class_trial or self._is_silent(host, pending, attempt, now):
                 self._record_class_failure(host, pending, attempt, now)
-            if not pending.is_answered:  # the fallback starts beside it
+            if not pending.is_answered:
                 return self._start_attempt(pending, now)
         return []
 
     def _finish(self, pending: PendingRequest) -> list[Action]:
-        """Nothing more is owed: call off what is out, and forget the request once all has ended."""
+        """Cancel the running attempts after the final answer; forget the request once all have ended."""
         is_first, pending.is_answered = not pending.is_answered, True
         running = pending.running_attempts
         if not running:
--- a/whinrouter/benchlink.py
+++ b/whinrouter/benchlink.py
@@ -1,4 +1,8 @@
-"""Hosts balancers on the simulator's wire: batches in on standard input, replies out on standard output."""
+"""Runs balancers for the simulator: reads batches from standard input, writes replies to standard output.
+
+Each line is a JSON object. A batch opens with a `frame`, ends with `eob`, and is answered with the actions of
+its events and an `ack`. An instance that raises an error is reported once and ignored until it is retired.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +18,18 @@
 
 
 class MalformedInputError(Exception):
-    """A line that is not of the wire."""
+    """The input breaks the format of the simulator's messages."""
 
 
 class BalancerInstances:
-    """The instances of one process."""
+    """The balancers of one process, by their gateway numbers."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
         self._failed: set[int] = set()
 
     def handle(self, message: wire.Message, now: int) -> Iterable[wire.Message]:
-        """Hand one event to its instance; return the actions as messages."""
+        """Pass one event to its instance; return the actions as messages."""
         gateway = message["gateway"]
         if message["verb"] == "retire":
             self._balancers.pop(gateway, None)
@@ -59,7 +63,7 @@
 
 
 def serve(input_stream: BinaryIO, output_stream: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends; raises `MalformedInputError`."""
     instances = BalancerInstances()
     for line in input_stream:
         frame = _parse_line(line)
@@ -84,6 +88,7 @@
 
 
 def main() -> int:
+    """Serve standard input; returns 1 after malformed input, else 0."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedInputError as error:
--- a/whinrouter/breaker.py
+++ b/whinrouter/breaker.py
@@ -1,4 +1,8 @@
-"""The circuit breakers of one server; they read no clock and do no I/O."""
+"""The circuit breakers of one server; they read no clock and do no I/O.
+
+States: closed, until too many failures open the breaker; open, until its cooldown ends; then half-open, until
+one trial request closes it or opens it for twice the cooldown.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +12,18 @@
 from whinrouter.interface import SECOND
 from whinrouter.learned_state import BreakerState
 
-FAILURE_WINDOW = 60 * SECOND  # failures older than this are forgotten
+FAILURE_WINDOW = 60 * SECOND  # older failures are dropped
 FAILURE_THRESHOLD = 3  # failures that open a breaker
 BASE_COOLDOWN, MAX_COOLDOWN = SECOND // 4, 20 * SECOND
-COOLDOWN_JITTER = 0.15
-SUCCESSES_PER_FAILURE = (
-    2  # successes that take back a failure of their class: it opens where more than a third fail
-)
-MAX_CLASS_COOLDOWN = (
-    4 * SECOND
-)  # at most: the server serves all else meanwhile, and a trial costs one request
+COOLDOWN_JITTER = 0.15  # relative
+# Successes that remove one failure of their class: its breaker opens where more than a third fail.
+SUCCESSES_PER_FAILURE = 2
+# Shorter, as the server still serves the other classes, and a trial costs one request.
+MAX_CLASS_COOLDOWN = 4 * SECOND
 
 
 class Breaker:
-    """Closed it admits all; open, nothing; once its cooldown is over it is half-open and admits one trial."""
+    """Admits all while closed, nothing while open, and one trial while half-open."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -33,32 +35,37 @@
 
     @property
     def is_closed(self) -> bool:
+        """Whether the breaker admits all requests."""
         return self._half_open_at is None
 
     def export_state(self, now: int) -> BreakerState:
-        """What another goes on from, in spans; a trial that is out is not its own."""
+        """Return the state as spans; a running trial isn't a part of it."""
         half_open_in = self._half_open_at - now if self._half_open_at is not None else None
         return BreakerState(
             tuple(now - failed_at for failed_at in self._failures), half_open_in, self._cooldown
         )
 
     def restore_state(self, state: BreakerState, now: int) -> None:
+        """Take over the exported state of another breaker."""
         self._failures = deque(now - age for age in state.failures)
         self._half_open_at = now + state.half_open_in if state.half_open_in is not None else None
         self._cooldown = state.cooldown
 
     def admits(self, now: int) -> bool:
+        """Whether an attempt may start."""
         return self._half_open_at is None or (now >= self._half_open_at and not self._trial_running)
 
     def start_attempt(self) -> bool:
+        """Note the start of an attempt and return whether it is the trial."""
         self._trial_running = self._half_open_at is not None
         return self._trial_running
 
     def abandon_trial(self) -> None:
-        """The trial was given up: its slot is free, without a verdict."""
+        """Free the slot of a trial that ended without a verdict."""
         self._trial_running = False
 
     def record_success(self, is_trial: bool) -> None:
+        """Drop all failures. A trial closes the breaker; other successes of an open breaker are ignored."""
         if self.is_closed:
             self._failures.clear()
         elif is_trial:
@@ -66,6 +73,7 @@
             self._half_open_at, self._trial_running, self._cooldown = None, False, BASE_COOLDOWN
 
     def record_failure(self, now: int, is_trial: bool) -> None:
+        """Count a failure. One of a trial doubles the cooldown; any other of an open breaker is ignored."""
         if is_trial:
             self._cooldown = min(2 * self._cooldown, self._max_cooldown)
             self._open(now)
@@ -77,6 +85,7 @@
                 self._open(now)
 
     def _open(self, now: int) -> None:
+        """Open the breaker for the cooldown, with jitter."""
         self._trial_running = False
         self._half_open_at = now + round(
             self._cooldown * self._random.uniform(1 - COOLDOWN_JITTER, 1 + COOLDOWN_JITTER)
@@ -84,38 +93,38 @@
 
 
 class ClassBreaker(Breaker):
-    """What one class of request meets at one server, which may fail or never answer it and serve the rest.
-
-    Successes of other classes can't wash that out here, and its own not at once: some of them take back one
-    failure, after a good trial the next failure opens it anew, and the cooldown is short again only once no
-    failure is left. It covers any fault that follows the kind of request, wholly or in part: a path whose
-    database is dead, a bad release, a lock. It hurts where a class fails the same everywhere, as the servers
-    that it leaves get all of it: only a share of them may be open at a time.
+    """The breaker of one class at one server, which may fail or never answer that class and serve the others.
+
+    Successes of other classes don't count here, and successes of this class count only in part: several of
+    them remove one failure, the next failure after a successful trial opens the breaker again, and the
+    cooldown is short again only once no failure is left. So it covers faults that follow the kind of request,
+    wholly or partly: a path whose database is down, a bad release, a lock. Where a class fails the same
+    everywhere, breakers do harm, as the remaining servers get all of it: the caller bounds how many may be
+    open.
     """
 
     def __init__(self, random: Random) -> None:
         super().__init__(random)
         self._max_cooldown = MAX_CLASS_COOLDOWN
-        self._success_credit = 0  # successes that have taken back nothing yet
-        self._unanswered = 0  # that waited in vain since it last served one
-        self.last_answer_at = 0  # when that was
+        self._success_credit = 0  # successes that have not removed a failure yet
+        self._unanswered = 0  # unanswered attempts since the last answer
+        self.last_answer_at = 0
 
     def record_answer(self, now: int, is_trial: bool) -> None:
-        """Any answer shows that it is not silent, also a late one; failing is another matter."""
+        """Count an answer; even a late one closes a breaker that unanswered attempts had opened."""
         unanswered, self._unanswered, self.last_answer_at = self._unanswered, 0, now
         if self.is_closed:
             self._success_credit += 1
             if self._success_credit >= SUCCESSES_PER_FAILURE:
                 self._remove_failure()
         elif is_trial or unanswered >= FAILURE_THRESHOLD:
-            self._cooldown = min(
-                2 * self._cooldown, self._max_cooldown
-            )  # of the next time, unless it stays well
+            # For the next time that the breaker opens, unless all failures are removed before.
+            self._cooldown = min(2 * self._cooldown, self._max_cooldown)
             self._remove_failure()
             self._half_open_at, self._trial_running = None, False
 
     def record_no_answer(self, now: int, is_trial: bool) -> None:
-        """One waited in vain, and none was served meanwhile."""
+        """Count an attempt that went unanswered while no other of its class was answered."""
         self._unanswered += 1
         if is_trial:
             self.record_failure(now, is_trial)
@@ -123,6 +132,7 @@
             self._open(now)
 
     def _remove_failure(self) -> None:
+        """Drop the latest failure; without failures the next cooldown is the shortest."""
         self._success_credit = 0
         if self._failures:
             self._failures.pop()
--- a/whinrouter/coalesced.py
+++ b/whinrouter/coalesced.py
@@ -1,4 +1,4 @@
-"""A call that may be asked for more often than it is to be made."""
+"""Coalescing of calls that are requested more often than they may run."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 
 class CoalescedCall:
-    """Makes a call at once, and at most one more for all that ask within a time after it.
+    """Runs a function at once, and at most once more for all requests within the interval after it.
 
-    Nobody's wish is lost: whoever asks is followed by a call that begins later, unless `stop` comes first.
+    Each request is followed by a run that begins later than the request, unless `stop` comes first.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, call: Callable[[], None], interval: float) -> None:
-        """`every`: seconds from the end of one call to the start of the next."""
+        """`interval`: seconds from the end of one run to the start of the next."""
         self._loop, self._call, self._interval = loop, call, interval
-        self._cooldown: asyncio.TimerHandle | None = None  # until the next call may be made
+        self._cooldown: asyncio.TimerHandle | None = None  # pending until the next run is allowed
         self._is_requested = False
         self._is_stopped = False
 
     def request(self) -> None:
-        """Have the call made, now or as soon as it may be."""
+        """Run the function now, or as soon as the interval is over."""
         if self._cooldown is None and not self._is_stopped:
             self._run()
         else:
             self._is_requested = True
 
     def stop(self) -> None:
-        """Make no more calls."""
+        """Start no more runs."""
         self._is_stopped = True
         if self._cooldown is not None:
             self._cooldown.cancel()
--- a/whinrouter/console.py
+++ b/whinrouter/console.py
@@ -1,4 +1,4 @@
-"""The command `copperlead`: signals are held before anything large is imported, where it is to serve."""
+"""The command `copperlead`: blocks signals before anything large is imported, where it is to serve."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def main() -> int:
-    """Run the command line; the exit status."""
+    """Run the command line; return the exit status."""
     if sys.argv[1:2] == ["run"]:
         signals.block()
-    from whinrouter.operator.cli import main as command_line  # noqa: PLC0415 - after signals are held
+    from whinrouter.operator.cli import main as command_line  # noqa: PLC0415 - after signals are blocked
 
     return command_line()
 
--- a/whinrouter/control/__init__.py
+++ b/whinrouter/control/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: calls of operators, one line to a connection."""
+"""The control address: operators' calls, one line a connection."""
--- a/whinrouter/control/calls.py
+++ b/whinrouter/control/calls.py
@@ -1,4 +1,4 @@
-"""The calls that there are: a registry, to which whoever has something to be called adds it. No I/O."""
+"""The registry of operators' calls. No I/O."""
 
 from __future__ import annotations
 
@@ -8,30 +8,34 @@
 
 
 class CallRefusedError(Exception):
-    """The call is a good one, and can't be done now; the text says why."""
+    """The call is valid but can't be carried out now; the text gives the reason."""
 
 
 Operation = Callable[..., str]
 
 
 class CallRegistry:
-    """Names, the words that each takes, and what it does."""
+    """Call names, the arguments of each, and the functions that carry them out."""
 
     def __init__(self) -> None:
         self._operations: dict[str, tuple[tuple[str, ...], Operation]] = {}
 
     def add(self, name: str, argument_names: tuple[str, ...], operation: Operation) -> None:
-        """`act` is called with the words and returns what the caller is told, or raises RefusedError."""
+        """Register a call. `operation` is called with the arguments.
+
+        It returns the text of the answer, or raises CallRefusedError.
+        """
         self._operations[name] = argument_names, operation
 
     def answer(self, call: Call) -> bytes:
-        """Do what is asked, and say how it went."""
+        """Carry out a call and return the answer's line."""
         try:
             return ok_answer(self._execute(call))
         except (BadCallError, CallRefusedError) as error:
             return error_answer(str(error))
 
     def _execute(self, call: Call) -> str:
+        """Return the text of the answer; BadCallError if the name or the number of arguments is wrong."""
         if call.name not in self._operations:
             raise BadCallError(f"no such call; there are {', '.join(sorted(self._operations))}")
         argument_names, operation = self._operations[call.name]
--- a/whinrouter/control/ctl.py
+++ b/whinrouter/control/ctl.py
@@ -9,12 +9,12 @@
 from whinrouter.control.session import MAX_LINE_BYTES
 
 EXIT_DONE, EXIT_REFUSED, EXIT_UNREACHABLE = 0, 1, 2
-ANSWER_TIMEOUT_SECONDS = 5.0  # seconds for an answer that is owed in one
-MAX_ANSWER_BYTES = 8 * MAX_LINE_BYTES  # bytes
+ANSWER_TIMEOUT_SECONDS = 5.0  # the gateway is expected to answer within one second
+MAX_ANSWER_BYTES = 8 * MAX_LINE_BYTES
 
 
 def call(address: tuple[str, int], arguments: list[str]) -> tuple[bool, str]:
-    """Whether the call was done, and what was said; OSError if nobody answers."""
+    """Return whether the call was carried out, and the answer's text; OSError if there is no valid answer."""
     with socket.create_connection(address, ANSWER_TIMEOUT_SECONDS) as connection:
         connection.sendall(" ".join(arguments).encode() + b"\n")
         answer = b""
@@ -24,12 +24,12 @@
                 break
     status, _, text = answer.decode("ascii", "replace").strip().partition(" ")
     if status not in ("+OK", "-ERR"):
-        raise ConnectionError("what answers there takes no calls")
+        raise ConnectionError("the server at this address does not answer operators' calls")
     return status == "+OK", text
 
 
 def main(address: tuple[str, int], arguments: list[str], as_json: bool) -> int:
-    """Make a call, print what was said, and return an exit code."""
+    """Make a call, print the answer, and return the exit code."""
     call_arguments = [arguments[0].upper(), *arguments[1:]]
     try:
         is_done, text = call(address, call_arguments)
--- a/whinrouter/control/server.py
+++ b/whinrouter/control/server.py
@@ -1,9 +1,9 @@
-"""The listener of the second address.
+"""The listener of the control address.
 
-It does not stand in line with clients: the loop's `Door` knows nothing of its descriptors, and so has them
-handled ahead of all clients at the process's own limit. Callers that say nothing take one of `MOST_OPEN`
-places; where these are full, the one that has waited longest gives way to the next, so that they shut
-nobody out.
+Its connections don't wait in line with clients: the event loop's `PrioritySelector` does not know their
+descriptors and handles them ahead of all clients when the process is at its own limit. At most `MAX_CALLERS`
+callers are connected; when that many are, the one that has waited longest is dropped for the next, so that
+callers that send nothing can't lock out others.
 """
 
 from __future__ import annotations
@@ -18,47 +18,42 @@
 from whinrouter.net.accept import Acceptor
 
 log = logging.getLogger(__name__)
-audit = logging.getLogger("whinrouter.audit")  # none of its lines is left out
+audit = logging.getLogger("whinrouter.audit")  # its lines are never rate-limited
 
-MAX_CALLERS = 8  # callers at once; their descriptors are reserved (RESERVED in program.py)
-# Seconds that a caller may take for its line. People type, and some hold a connection for 4 s before they
-# call.
+MAX_CALLERS = 8  # their descriptors are reserved (RESERVED_DESCRIPTORS in program.py)
+# For a caller to send its line: people type, and some keep a connection open for 4 s before they call.
 LINE_TIMEOUT_SECONDS = 10.0
 LISTEN_BACKLOG = 64
-UNAUDITED_CALLS = frozenset(
-    {"HEALTH", "VIOLATIONS"}
-)  # calls that a monitor makes all day: they are not audited
-LINGER_SECONDS = (
-    1.0  # seconds for which a caller may go on sending behind its line: to close at once would reset it
-)
+UNAUDITED_CALLS = frozenset({"HEALTH", "VIOLATIONS"})  # a monitor makes these all day
+LINGER_SECONDS = 1.0  # a caller may still be sending: closing at once would reset its connection
 
 
 class ControlServer:
-    """Takes callers, and answers each with what `calls` says."""
+    """Accepts callers and answers each call by the registry."""
 
     def __init__(self, calls: CallRegistry) -> None:
         self.calls = calls
-        self.callers: OrderedDict[_CallerProtocol, None] = OrderedDict()  # by the time of their coming
+        self.callers: OrderedDict[_CallerProtocol, None] = OrderedDict()  # in the order of their arrival
         self._listener: socket.socket | None = None
         self._acceptor: Acceptor | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Take callers; return the port. OSError if the address is taken."""
+        """Start to listen and return the port; OSError if the address is in use."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = socket.create_server((host, port), family=family, backlog=LISTEN_BACKLOG)
-        # One accept a turn: none takes a descriptor before it is counted.
+        # One accept per loop iteration: each caller is counted before the next takes a descriptor.
         self._acceptor = Acceptor(listener, lambda: _CallerProtocol(self), max_accepts_per_turn=1)
         self._listener = listener
         return int(listener.getsockname()[1])
 
     def admit(self, caller: _CallerProtocol) -> None:
-        """Count one more, in the place of the one that has waited longest if there is none left."""
+        """Count a new caller, and drop the one that has waited longest if there are too many."""
         while len(self.callers) >= MAX_CALLERS:
             next(iter(self.callers)).drop()
         self.callers[caller] = None
 
     def close(self) -> None:
-        """Take no more callers."""
+        """Stop listening and drop all callers."""
         if self._acceptor is not None:
             self._acceptor.stop()
         if self._listener is not None:
@@ -68,6 +63,8 @@
 
 
 class _CallerProtocol(asyncio.Protocol):
+    """One caller's connection: reads the line, answers, and lingers so that the caller can read it."""
+
     def __init__(self, server: ControlServer) -> None:
         self._server = server
         self._session = Session()
@@ -99,17 +96,17 @@
             return True
         if call is not None:
             self._answer(call)
-        return True  # the answer may still be on its way
+        return True  # keep the connection open until the answer is written
 
     def _reject(self, error: BadCallError) -> None:
-        log.info("control: noise: %s", error)
+        log.info("control: invalid call: %s", error)
         self._reply(error_answer(str(error)))
 
     def _answer(self, call: Call) -> None:
         try:
             answer = self._server.calls.answer(call)
         except Exception:
-            log.exception("failed on a call")
+            log.exception("control: a call failed")
             answer = error_answer("a fault of the gateway's own; its log has the trace")
         if call.name not in UNAUDITED_CALLS:
             audit.info("control: %s: %s", " ".join((call.name, *call.arguments)), answer.decode().rstrip())
@@ -124,6 +121,7 @@
         self._timer = asyncio.get_running_loop().call_later(LINGER_SECONDS, self.drop)
 
     def drop(self) -> None:
+        """Close the connection at once."""
         self._server.callers.pop(self, None)
         if self._transport is not None:
             self._transport.abort()
--- a/whinrouter/control/session.py
+++ b/whinrouter/control/session.py
@@ -1,39 +1,39 @@
-"""One operator's connection as a machine: bytes in, at most one call out. No I/O.
+"""Parsing of one operator's connection: bytes in, at most one call out. No I/O.
 
-    waiting --a whole line, or the end behind one--> called
-    waiting --more than MOST bytes without one--> called, with an error
+    waiting --a whole line, or the end of input--------> finished: the call, or BadCallError
+    waiting --more than MAX_LINE_BYTES without a line--> finished: BadCallError
 
-A call is one line, ended by LF or CRLF or by the end of the caller's sending: a name and its words, apart by
-blanks. Names stand in capitals. What comes behind the line is not read.
+A call is one line, ended by LF, CRLF or the end of input: a name and its arguments, separated by white space.
+Names are in upper case. Input after the line is ignored.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MAX_LINE_BYTES = 512  # bytes of a line: a name and an id; hosts' ids are far shorter
+MAX_LINE_BYTES = 512  # a name and a host's id, which is far shorter
 
 
 class Call(NamedTuple):
-    """What a caller asks."""
+    """A call's name and arguments."""
 
     name: str
     arguments: tuple[str, ...] = ()
 
 
 class BadCallError(Exception):
-    """What came is no call."""
+    """The line is no valid call."""
 
 
 class Session:
-    """One connection. `feed` and `end` give its call, once; BadCallError if there can be none."""
+    """One connection. `feed` and `end` return its call once; BadCallError if there can be none."""
 
     def __init__(self) -> None:
         self._line = b""
-        self.is_finished = False  # it has had its call, or can have none
+        self.is_finished = False  # the call was returned, or an error was raised
 
     def feed(self, data: bytes) -> Call | None:
-        """Take what came."""
+        """Add received bytes."""
         if self.is_finished:
             return None
         self._line += data[: MAX_LINE_BYTES + 1]
@@ -43,7 +43,7 @@
         return self._parse(line)
 
     def end(self) -> Call | None:
-        """The caller has ended its sending."""
+        """Handle the end of input."""
         return None if self.is_finished else self._parse(self._line)
 
     def _parse(self, line: bytes) -> Call:
@@ -62,10 +62,10 @@
 
 
 def ok_answer(text: str) -> bytes:
-    """The answer to a call that was done."""
+    """Return the answer to a call that was carried out."""
     return f"+OK {text}".rstrip().encode("ascii", "replace") + b"\r\n"
 
 
 def error_answer(text: str) -> bytes:
-    """The answer to one that was not."""
+    """Return the answer to a call that was not carried out."""
     return f"-ERR {text}".encode("ascii", "replace") + b"\r\n"
--- a/whinrouter/handover/__init__.py
+++ b/whinrouter/handover/__init__.py
@@ -1,1 +1,1 @@
-"""One process of a gateway takes over from another: what it is told, and the channel between them."""
+"""Handover between two processes of one gateway: channel, messages and transfer of connections."""
--- a/whinrouter/handover/channel.py
+++ b/whinrouter/handover/channel.py
@@ -1,8 +1,8 @@
-"""The line between two processes as a Unix socket in a folder that both have.
+"""The connection between two processes of a gateway: a Unix socket in a directory that both share.
 
-The path is the newest process's that serves: it binds a name of its own and renames that over the path, so
-that there is no moment without one, and a process that dies before it serves leaves the path as it was.
-What a killed process left answers no connection, which is the same as no path.
+The path belongs to the newest process that serves. It binds a temporary name and renames that over the path,
+so that the path always exists, and a process that dies before it serves leaves the path as it was. A socket
+that a killed process left behind accepts no connection, which is treated like a missing path.
 """
 
 from __future__ import annotations
@@ -23,14 +23,12 @@
 
 log = logging.getLogger(__name__)
 
-SNAPSHOT_TIMEOUT_SECONDS = (
-    1.0  # seconds for which the older process is waited for; then the start is from nothing
-)
-MAX_PEERS = 4  # processes of one gateway that this one may have lines to
+SNAPSHOT_TIMEOUT_SECONDS = 1.0  # after this the process starts without the older one's state
+MAX_PEERS = 4  # newer processes that may be connected to this one
 
 
 class PeerHandler(Protocol):
-    """Who is told what comes over a line."""
+    """Receives the messages and the end of a connection."""
 
     def message_received(self, peer: PeerConnection, message: Message) -> None: ...
 
@@ -38,7 +36,7 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """One end of a line."""
+    """One end of the connection to another process."""
 
     def __init__(self, handler: PeerHandler, is_newer: bool) -> None:
         self.session = HandoverSession(is_newer)
@@ -50,7 +48,7 @@
         self._transport = transport
 
     def send(self, message: Message) -> None:
-        """Tell the other side, as long as there is one."""
+        """Send a message, unless the connection has ended."""
         if self._transport is not None and self.session.phase is not Phase.CLOSED:
             self._transport.write(encode_frame(message))
 
@@ -59,10 +57,11 @@
             for message in self.session.feed(data):
                 self._handler.message_received(self, message)
         except ProtocolError as error:
-            log.warning("handover: %s; the line is closed", error)
+            log.warning("handover: %s; closing the connection", error)
             self.close()
 
     def close(self) -> None:
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -74,7 +73,7 @@
 
 @contextlib.contextmanager
 def _short_path(path: Path) -> Iterator[str]:
-    """The path in few enough characters for a socket's name (108), however deep its folder."""
+    """Yield an alias of the path that fits into a socket address (108 bytes), whatever its directory."""
     directory = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{directory}/{path.name}"
@@ -83,12 +82,13 @@
 
 
 def _is_same_user(endpoint: socket.socket) -> bool:
+    """Whether the process at the other end runs as this process's user."""
     credentials = endpoint.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
     return int.from_bytes(credentials[4:8], "little") == os.geteuid()
 
 
 async def connect(path: Path, handler: PeerHandler) -> PeerConnection | None:
-    """A line to the process that serves at this path; None if there is none."""
+    """Return a connection to the process that serves at this path; None if there is none."""
 
     async def connect_once() -> PeerConnection:
         with contextlib.ExitStack() as cleanup:
@@ -98,36 +98,37 @@
             with _short_path(path) as short:
                 endpoint.connect(short)
             if not _is_same_user(endpoint):
-                raise PermissionError("another user's")
+                raise PermissionError("the socket belongs to another user")
             loop = asyncio.get_running_loop()
             _, peer = await loop.create_unix_connection(lambda: PeerConnection(handler, True), sock=endpoint)
-            cleanup.pop_all()  # it is the transport's now
+            cleanup.pop_all()  # the transport owns the endpoint now
             return peer
 
     try:
         return await with_retries(connect_once, LISTEN_RETRY_SECONDS)
-    except FileNotFoundError:  # the first of its kind
+    except FileNotFoundError:  # no process has served yet
         return None
     except OSError as error:
-        log.warning("handover: nobody can be asked (%s); starting from nothing", error)
+        log.warning("handover: cannot connect to the older process (%s); starting without its state", error)
         return None
 
 
 class PeerListener:
-    """Where the next process asks; it may be taken up again after another has had it."""
+    """Listens for the next process; it may be opened again after another process has had the path."""
 
     def __init__(self, path: Path, handler: PeerHandler, admit: Callable[[PeerConnection], bool]) -> None:
+        """`admit`: called with each new connection; False closes it."""
         self._path, self._handler, self._admit = path, handler, admit
         self._listener: socket.socket | None = None
         self._acceptor: Acceptor | None = None
 
     async def open(self) -> None:
-        """Be the one at the path."""
+        """Listen at the path, in place of whichever process had it."""
         self.close()
         try:
             await with_retries(self._open_once, LISTEN_RETRY_SECONDS)
         except OSError as error:
-            log.warning("handover: nobody can ask here (%s)", error)
+            log.warning("handover: cannot listen for newer processes (%s)", error)
 
     async def _open_once(self) -> None:
         temporary_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
@@ -156,7 +157,7 @@
         return peer
 
     def close(self) -> None:
-        """Answer nobody any more; the path stays, as it may be another's by now."""
+        """Accept no more connections; the path stays, as it may belong to another process by now."""
         if self._acceptor is not None:
             self._acceptor.stop()
             self._acceptor = None
--- a/whinrouter/handover/connections.py
+++ b/whinrouter/handover/connections.py
@@ -1,4 +1,4 @@
-"""Connections of this process as `passing.py` hands them over, and those of others as it takes them up."""
+"""Client connections in the form in which `transfer.py` hands them over and sets them up."""
 
 from __future__ import annotations
 
@@ -38,18 +38,18 @@
 
 
 class ActiveConnection:
-    """One client's connection, in whichever state it is."""
+    """A client connection of this process, in any state that can be transferred."""
 
     def __init__(self, frontend: Frontend, client: ClientConnection) -> None:
         self._frontend, self._client = frontend, client
         self._state = client.state
-        self._request = client.request_id
-        self._host: HostConnection | None = None  # where a body is on its way to or from one
+        self._request_id = client.request_id
+        self._host: HostConnection | None = None  # the host that a body is read from or sent to
 
     @property
     def is_over(self) -> bool:
         client = self._client
-        return client.state is not self._state or client.request_id != self._request
+        return client.state is not self._state or client.request_id != self._request_id
 
     def pause(self) -> TransferMessage | None:
         match self._state:
@@ -74,7 +74,7 @@
         client, flow = self._client, self._client.answer_flow
         assert flow is not None
         chunked = client.is_answer_chunked
-        if flow.is_received:  # all of it is here, and its reader is slow
+        if flow.is_received:  # the whole body is buffered here, as the client reads slowly
             pending_output = _framed(flow.unsent, chunked) + (LAST_CHUNK if chunked else b"")
             return ClientTransfer(b"", client.freeze() + pending_output, closes_connection=True)
         source = flow.source
@@ -88,13 +88,15 @@
 
     def _pause_upload(self) -> UploadTransfer | None:
         client, flow = self._client, self._client.request_flow
-        passed_request = (
-            self._frontend.gateway.describe_for_handover(self._request) if self._request is not None else None
+        handed_over_request = (
+            self._frontend.gateway.describe_for_handover(self._request_id)
+            if self._request_id is not None
+            else None
         )
         remainder = client.request_reader.remainder()
         if (
             flow is None
-            or passed_request is None
+            or handed_over_request is None
             or remainder is None
             or not isinstance(flow.sink, HostConnection)
         ):
@@ -106,10 +108,10 @@
             client.request_reader.streamed_bytes,
             flow.length,
             client.closes_after_answer,
-            passed_request.client_request_id,
-            passed_request.class_name,
-            passed_request.client_timeout,
-            passed_request.server,
+            handed_over_request.client_request_id,
+            handed_over_request.class_name,
+            handed_over_request.client_timeout,
+            handed_over_request.server,
             client.freeze(),
             host_output,
         )
@@ -134,7 +136,7 @@
 
 
 class ActiveRelay:
-    """An answer that came from an older process, on its way to a newer one."""
+    """A relayed answer, which came from an older process, on its way to a newer one."""
 
     def __init__(self, answer: RelayedAnswer) -> None:
         self._answer = answer
@@ -145,16 +147,17 @@
 
     def pause(self) -> TransferMessage | None:
         answer, flow = self._answer, self._answer.flow
-        kept = _framed(flow.unsent, answer.chunked)
+        unsent = _framed(flow.unsent, answer.chunked)
         if flow.is_received:
-            is_end_written = not kept and answer.chunked  # with nothing kept its end was written already
+            # Without unsent bytes the final chunk was written already.
+            is_end_written = not unsent and answer.chunked
             final_chunk = LAST_CHUNK if answer.chunked and not is_end_written else b""
-            return ClientTransfer(b"", answer.client.freeze() + kept + final_chunk, closes_connection=True)
+            return ClientTransfer(b"", answer.client.freeze() + unsent + final_chunk, closes_connection=True)
         remainder = answer.reader.remainder()
         if remainder is None:
             return None
         answer.host.freeze()
-        return AnswerTransfer(remainder, flow.length, answer.chunked, answer.client.freeze() + kept)
+        return AnswerTransfer(remainder, flow.length, answer.chunked, answer.client.freeze() + unsent)
 
     def descriptors(self) -> tuple[int, ...]:
         client = self._answer.client.descriptor
@@ -169,7 +172,7 @@
 
 
 class _AdoptedClient:
-    """A client's connection with no request sent on."""
+    """A client connection with no request sent on to a host."""
 
     def __init__(self, message: ClientTransfer, client: ClientConnection) -> None:
         self._message, self._client = message, client
@@ -185,17 +188,17 @@
 
 
 class _AdoptedUpload:
-    """A request whose body is on its way to its host."""
+    """A request whose body is being sent to its host."""
 
     def __init__(
         self, message: UploadTransfer, client: ClientConnection, host: TargetHost, connection: HostConnection
     ) -> None:
         self._client, self._host, self._connection = client, host, connection
-        self._passed_request = HandedOverRequest(
-            message.request_id, message.class_name, message.answer_timeout, message.server_id
+        self._handed_over_request = HandedOverRequest(
+            message.client_request_id, message.class_name, message.client_timeout, message.server_id
         )
         self._body = client.resume_upload(
-            self._passed_request,
+            self._handed_over_request,
             message.remainder,
             message.received_bytes,
             message.body_length,
@@ -203,7 +206,7 @@
         )
 
     def activate(self) -> None:
-        self._client.resume_request(self._passed_request, self._body, self._host, self._connection)
+        self._client.resume_request(self._handed_over_request, self._body, self._host, self._connection)
         self._connection.thaw()
         self._client.thaw()
 
@@ -215,11 +218,11 @@
 def connection_adopter(
     frontend: Frontend, upstream: ConnectionPool
 ) -> Callable[[ClientTransfer | UploadTransfer, list[socket.socket]], AdoptedConnection]:
-    """What sets up a connection of another process in this one."""
+    """Return the function that sets up connections of another process in this one."""
 
     def adopt(message: ClientTransfer | UploadTransfer, sockets: list[socket.socket]) -> AdoptedConnection:
         if not frontend.has_room:
-            raise NoCapacityError("no place for another connection")
+            raise NoCapacityError("too many client connections")
         client = frontend.adopt_connection(sockets[0], message.client_output)
         if isinstance(message, ClientTransfer):
             return _AdoptedClient(message, client)
--- a/whinrouter/handover/coordinator.py
+++ b/whinrouter/handover/coordinator.py
@@ -1,19 +1,19 @@
-"""One process of a gateway takes over from another, and is taken over from in its turn.
-
-Theory of operation. Both serve from the same listening socket, which whoever started them holds, so that no
-connection is turned back between the two.
-
-    start:  ask at the path; with an answer within `TAKE_TIME` go on from it, else from nothing
-    serve:  say `Ready` to the older one and be the one at the path
-    older:  on `Ready`, accept no more and say how many descriptors are still held, until the end; if the
-    newer one
-            ends first, accept again and be the one at the path again
-    beside: what operators call at either, and which hosts stop, each does as if it had been told itself
-
-While both serve, the newer process has what the older one does not hold of the descriptors, and half of
-what was learnt that a host may have in flight: together they stay under half as much again as one alone,
-and what may be sent to a cold host follows the answers of each, which are of the same clients. Once the
-older one has ended all is the newer one's.
+"""Handover of a gateway from one process to the next.
+
+Both processes accept from the same listening socket, which their parent process holds open, so that no
+connection is refused during the change.
+
+    start:    connect to the socket path; restore the older process's state if it replies within
+              `SNAPSHOT_TIMEOUT_SECONDS`, else start without it
+    serving:  send `Ready` to the older process and listen at the path
+    replaced: after `Ready`, stop accepting and report the number of open descriptors until the end; if the
+              newer process ends first, accept again and listen at the path again
+    both:     operators' calls and stopped hosts that one process learns of are applied by the other too
+
+While both serve, the newer process may use the descriptors that the older one does not hold, and half of the
+learned limits on requests in flight to each host. Together they stay below one and a half times the load of
+one process. What a cold host is sent follows the answers that each process sees, which are of the same
+clients. Once the older process has ended, the newer one has all of it.
 """
 
 from __future__ import annotations
@@ -63,17 +63,15 @@
 
 log = logging.getLogger(__name__)
 
-NEWER_PROCESS_SHARE = 0.5  # of the limits on hosts, for the newer process while both serve
-TRANSFER_SCAN_SECONDS = 0.05  # seconds between looks for connections to hand over
-TRANSFER_RETRY_SECONDS = 0.3  # seconds before one that was not taken is offered again
-MAX_CONCURRENT_TRANSFERS = (
-    32  # connections that are being offered at a time; each has a socket of its own meanwhile
-)
-HOLDING_REPORT_SECONDS = 0.2  # seconds between what an older process says of its descriptors
+NEWER_PROCESS_SHARE = 0.5  # of the learned host limits, while both processes serve
+TRANSFER_SCAN_SECONDS = 0.05  # between scans for connections to transfer
+TRANSFER_RETRY_SECONDS = 0.3  # before a connection whose transfer failed is offered again
+MAX_CONCURRENT_TRANSFERS = 32  # each transfer uses a socket of its own
+HOLDING_REPORT_SECONDS = 0.2  # between an older process's reports of its descriptors
 
 
 def encode_member(member: Member) -> HostEntry:
-    """A host in the words of the line."""
+    """Return a host in the form of the handover messages."""
     server, (host, port) = member.server, member.address
     return HostEntry(
         server.id,
@@ -89,7 +87,7 @@
 
 
 def decode_member(entry: HostEntry) -> Member:
-    """A host in the driver's words; ValueError if it has a state that there is not."""
+    """Return a host in the form of the driver; ValueError if its state is unknown."""
     server = Server(
         entry.server_id,
         State(entry.state),
@@ -104,7 +102,7 @@
 
 @dataclass(slots=True)
 class HandoverCoordinator:
-    """The lines of one process, to the one before it and to those after it."""
+    """One process's connections to the older process and to newer ones."""
 
     gateway: Gateway
     frontend: Frontend
@@ -112,35 +110,35 @@
     controller: OperationsController
     socket_path: Path
     hello: Hello
-    max_descriptors: int  # for clients and hosts together
+    max_descriptors: int  # for connections to clients and hosts together
     resume_listening: Callable[[], Coroutine[Any, Any, object]]
-    discovery_source: Callable[[], str]  # whose revision the lists have
+    discovery_source: Callable[[], str]  # the service that lists the hosts
     older_peer: PeerConnection | None = None
     newer_peers: list[PeerConnection] = field(default_factory=list)
-    is_replaced: bool = False  # a newer one serves
+    is_replaced: bool = False  # a newer process serves
     is_serving: bool = False
-    _taken: asyncio.Future[Snapshot | None] | None = None
-    _post: PeerListener | None = None
+    _snapshot: asyncio.Future[Snapshot | None] | None = None
+    _peer_listener: PeerListener | None = None
     _tasks: set[asyncio.Task[object]] = field(default_factory=set)
-    _held: int = 0  # descriptors that are the older one's still
-    _taking: TransferReceiver | None = None  # answers that older processes began
-    _passing: set[ClientConnection | RelayedAnswer] = field(default_factory=set)
+    _older_descriptors: int = 0  # descriptors that the older process still holds
+    _transfer_receiver: TransferReceiver | None = None  # answers that came from older processes
+    _in_transfer: set[ClientConnection | RelayedAnswer] = field(default_factory=set)
 
-    async def request_snapshot(self) -> Snapshot | None:
-        """Ask the older process, if there is one, and go on from what it knows."""
-        self._taken = asyncio.get_running_loop().create_future()
+    async def restore_from_older(self) -> Snapshot | None:
+        """Restore the older process's state and return it; None if there is none or it can't be used."""
+        self._snapshot = asyncio.get_running_loop().create_future()
         try:
             async with asyncio.timeout(SNAPSHOT_TIMEOUT_SECONDS):
                 self.older_peer = await connect(self.socket_path, self)
                 if self.older_peer is None:
                     return None
                 self.older_peer.send(self.hello)
-                snapshot = await self._taken
+                snapshot = await self._snapshot
         except TimeoutError:
-            log.warning("handover: the older process says nothing; starting from nothing")
+            log.warning("handover: no reply from the older process; starting without its state")
             snapshot = None
         if snapshot is None and self.older_peer is not None:
-            if not self._taken.cancelled():
+            if not self._snapshot.cancelled():
                 log.warning("handover: who is asked ended the line, as for a stranger; starting from nothing")
             self.older_peer.close()
             self.older_peer = None
@@ -148,8 +146,8 @@
             return None
         try:
             self._restore(snapshot)
-        except Exception:  # a start must not fail on what another version says
-            log.exception("handover: what the older process knows is of no use; starting from nothing")
+        except Exception:  # the start must not fail on the state of another version
+            log.exception("handover: cannot restore the older process's state; starting without it")
             self.controller.restore({}, {}, {}, self.controller.now())
             return None
         return snapshot
@@ -171,23 +169,25 @@
         )
 
     async def start_serving(self) -> None:
-        """This process serves: it is the one that the next asks."""
-        self._post = PeerListener(self.socket_path, self, self._admit_peer)
-        await self._post.open()
+        """Listen for the next process and tell the older one that this one serves."""
+        self._peer_listener = PeerListener(self.socket_path, self, self._admit_peer)
+        await self._peer_listener.open()
         adopt = connection_adopter(self.frontend, self.upstream)
-        self._taking = TransferReceiver(self._transfer_path, asyncio.get_running_loop().time, adopt)
-        await self._taking.open()
+        self._transfer_receiver = TransferReceiver(
+            self._transfer_path, asyncio.get_running_loop().time, adopt
+        )
+        await self._transfer_receiver.open()
         if self.older_peer is not None:
             self.older_peer.session.mark_ready()
             self.older_peer.send(Ready())
         self.is_serving = True
 
     def close(self) -> None:
-        """The process ends: the other side sees it."""
-        if self._post is not None:
-            self._post.close()
-        if self._taking is not None:
-            self._taking.stop()
+        """Close all connections and tasks at the process's end; the peers see the end."""
+        if self._peer_listener is not None:
+            self._peer_listener.close()
+        if self._transfer_receiver is not None:
+            self._transfer_receiver.stop()
         for peer in [self.older_peer, *self.newer_peers]:
             if peer is not None:
                 peer.close()
@@ -199,29 +199,31 @@
         return self.socket_path.with_name(f"answers-{self.socket_path.name}")
 
     async def wait_for_relays(self, seconds: float) -> None:
-        """Wait, for so long at most, until the answers that came from older processes have ended."""
-        if self._taking is not None:
+        """Wait until all relayed answers have ended, for at most this many seconds."""
+        if self._transfer_receiver is not None:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
-                    await self._taking.wait_until_done()
+                    await self._transfer_receiver.wait_until_done()
 
     async def _transfer_connections(self, peer: PeerConnection) -> None:
-        """Hand over each connection that another process can go on with, as soon as it can be."""
+        """Hand over each connection as soon as it is in a state that can be transferred."""
         while peer.session.phase is Phase.BOTH_SERVING:
             for client in list(self.frontend.connections):
-                if client not in self._passing and client.state in TRANSFERABLE_STATES:
+                if client not in self._in_transfer and client.state in TRANSFERABLE_STATES:
                     self._start_transfer(ActiveConnection(self.frontend, client), client)
-            for answer in list(self._taking.answers) if self._taking is not None else ():
-                if answer not in self._passing:
+            for answer in (
+                list(self._transfer_receiver.answers) if self._transfer_receiver is not None else ()
+            ):
+                if answer not in self._in_transfer:
                     self._start_transfer(ActiveRelay(answer), answer)
             await asyncio.sleep(TRANSFER_SCAN_SECONDS)
 
     def _start_transfer(
         self, connection: TransferableConnection, origin: ClientConnection | RelayedAnswer
     ) -> None:
-        if len(self._passing) < MAX_CONCURRENT_TRANSFERS:
-            self._passing.add(origin)
-            self._start(self._transfer(connection, origin))
+        if len(self._in_transfer) < MAX_CONCURRENT_TRANSFERS:
+            self._in_transfer.add(origin)
+            self._start_task(self._transfer(connection, origin))
 
     async def _transfer(
         self, connection: TransferableConnection, origin: ClientConnection | RelayedAnswer
@@ -234,14 +236,14 @@
             else:
                 await asyncio.sleep(TRANSFER_RETRY_SECONDS)
         finally:
-            self._passing.discard(origin)
+            self._in_transfer.discard(origin)
 
     def share_call(self, name: str, argument: str, exclude: PeerConnection | None = None) -> None:
-        """Tell the others what was called here, or at `but`."""
+        """Send an operator's call to all peers but the one that it came from."""
         self._broadcast(Called(name, argument), exclude)
 
     def share_stopped_hosts(self, host_list: HostList) -> None:
-        """Tell the others of hosts that drain or are gone."""
+        """Send those listed hosts that drain or are gone to all peers."""
         hosts = tuple(
             encode_member(entry) for entry in host_list.members if entry.server.state is not State.READY
         )
@@ -264,14 +266,14 @@
         return True
 
     def message_received(self, peer: PeerConnection, message: Message) -> None:
-        """What a process of this gateway says; the line has seen to it that it may."""
+        """Handle a message that the session has accepted."""
         if isinstance(message, Hello):
             self._send_snapshot(peer, message)
         elif isinstance(message, Snapshot):
-            if self._taken is not None and not self._taken.done():
-                self._taken.set_result(message)
+            if self._snapshot is not None and not self._snapshot.done():
+                self._snapshot.set_result(message)
         elif isinstance(message, Ready):
-            self._start(self._yield_to_newer(peer))
+            self._start_task(self._yield_to_newer(peer))
         elif isinstance(message, Holding):
             self._set_older_descriptors(message.descriptors)
         elif isinstance(message, Called):
@@ -315,38 +317,46 @@
         )
 
     async def _yield_to_newer(self, peer: PeerConnection) -> None:
-        """The newer one serves: what connects is its own; say what is still held here."""
+        """The newer process serves: stop accepting, transfer connections and report open descriptors."""
         self.is_replaced = True
         self.gateway.record_event(EventKind.TAKEN_OVER, "by a newer process")
-        if self._post is not None:
-            self._post.close()
-        if self._taking is not None:
-            self._taking.close()
+        if self._peer_listener is not None:
+            self._peer_listener.close()
+        if self._transfer_receiver is not None:
+            self._transfer_receiver.close()
         await self.frontend.listener.accept_pending()
         self.frontend.close_listener()
-        self._start(self._transfer_connections(peer))
+        self._start_task(self._transfer_connections(peer))
         while peer.session.phase is Phase.BOTH_SERVING:
-            peer.send(Holding(len(self.frontend.connections) + self.upstream.descriptors_in_use + self._held))
+            peer.send(
+                Holding(
+                    len(self.frontend.connections)
+                    + self.upstream.descriptors_in_use
+                    + self._older_descriptors
+                )
+            )
             await asyncio.sleep(HOLDING_REPORT_SECONDS)
 
     def _set_older_descriptors(self, older_descriptors: int) -> None:
-        """The older one still holds so many: the rest is ours, in halves."""
-        self._held = older_descriptors
-        relayed_descriptors = 2 * len(self._taking.answers) if self._taking is not None else 0
+        """Divide the descriptors that the older process does not hold between clients and hosts."""
+        self._older_descriptors = older_descriptors
+        relayed_descriptors = (
+            2 * len(self._transfer_receiver.answers) if self._transfer_receiver is not None else 0
+        )
         limit = max(1, (self.max_descriptors - older_descriptors - relayed_descriptors) // 2)
         self.frontend.max_connections = limit
         self.upstream.limit = limit
 
     def set_max_descriptors(self, max_descriptors: int) -> None:
-        """There are other limits on descriptors."""
+        """Change the limit on descriptors, as the settings have changed."""
         self.max_descriptors = max_descriptors
-        self._set_older_descriptors(self._held)
+        self._set_older_descriptors(self._older_descriptors)
 
     def peer_lost(self, peer: PeerConnection) -> None:
-        """A process of this gateway has ended, or broken its line."""
+        """A peer process has ended or closed its connection."""
         if peer is self.older_peer:
-            if self._taken is not None and not self._taken.done():
-                self._taken.set_result(None)  # `take` sees to the rest
+            if self._snapshot is not None and not self._snapshot.done():
+                self._snapshot.set_result(None)  # `restore_from_older` handles it
                 return
             self.older_peer = None
             log.info("handover: the older process has ended")
@@ -361,16 +371,16 @@
             ):
                 log.warning("handover: the newer process has ended; serving on")
                 self.is_replaced = False
-                self._start(self._resume_serving())
+                self._start_task(self._resume_serving())
 
     async def _resume_serving(self) -> None:
         await self.resume_listening()
-        if self._post is not None:
-            await self._post.open()
-        if self._taking is not None:
-            await self._taking.open()
+        if self._peer_listener is not None:
+            await self._peer_listener.open()
+        if self._transfer_receiver is not None:
+            await self._transfer_receiver.open()
 
-    def _start(self, work: Coroutine[Any, Any, object]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, object]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/whinrouter/handover/messages.py
+++ b/whinrouter/handover/messages.py
@@ -1,10 +1,10 @@
-"""What two processes of one gateway tell each other, as bytes. No I/O.
+"""Messages between two processes of one gateway, and their encoding as bytes. No I/O.
 
-A frame is `CLH2` (four bytes, the last the version), the payload's length (4 bytes), its CRC-32 (4 bytes),
-both big-endian, and the payload: one message in MessagePack, an array that begins with its tag. All times
-in it are spans, as the clocks of two processes need not agree. Whatever is not so, is of another version, or
-holds a value of another kind than its field says, is a `TornError`: whoever reads it starts from nothing
-rather than from a guess.
+A frame is `CLH2` (four bytes, the last one is the version), the payload's length (4 bytes), its CRC-32
+(4 bytes), both big-endian, and the payload: one message in MessagePack, an array that begins with its tag.
+All times in messages are spans, as the clocks of two processes need not agree. A frame that is malformed, of
+another version, or holds a value of another type than its field raises `ProtocolError`: the reader then
+starts without the other process's state instead of guessing.
 """
 
 from __future__ import annotations
@@ -18,22 +18,21 @@
 from whinrouter.membership.start_times import StartAge
 
 MAGIC = b"CLH2"
-# Bytes of a payload. A host takes some 200 with what was learnt of it: this is for ten times the largest
-# fleet.
+# A host takes about 200 bytes with its learned state: this is enough for ten times the largest fleet.
 MAX_PAYLOAD_BYTES = 4 * 1024 * 1024
 _HEADER = struct.Struct(">4sII")
 
 
 class ProtocolError(Exception):
-    """What came is no message of this version."""
+    """The data received is no valid message of this version, or not allowed in this phase."""
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """A process that starts asks for what the one before it knows.
+    """A starting process asks the running one for its state.
 
-    `socket` is what the two share and no other installation can have: the number (inode) of the listening
-    socket, which belongs to this one for as long as anybody holds it. A name and an address may have been
-    another's.
+    `socket_inode` is the inode number of the listening socket. Both processes share that socket and no other
+    installation can have it while any process holds it open. The name and the address alone may be reused by
+    another gateway.
     """
 
     name: str
@@ -42,7 +41,7 @@
 
 
 class HostEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A host, and where it listens."""
+    """A host and its address."""
 
     server_id: int
     host: str
@@ -52,41 +51,41 @@
     kind: str
     cell: int
     weight: float
-    started_at: int  # Unix time, as it is listed
+    started_at: int  # Unix time, as discovery lists it
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """All that the older process knows, as it is asked."""
+    """The whole state of the older process at the time of the request."""
 
-    discovery_source: str  # whose revision it is
+    discovery_source: str  # the service that `revision` belongs to
     revision: int
-    hosts: tuple[HostEntry, ...]  # as discovery lists them
-    out_ages: dict[int, int]  # how long ago hosts were taken out, in microseconds
-    back_ages: dict[int, int]  # and put back
-    start_ages: dict[int, StartAge]  # of the hosts, with the ages that they have here
+    hosts: tuple[HostEntry, ...]  # as listed by discovery
+    out_ages: dict[int, int]  # microseconds since each host was taken out
+    back_ages: dict[int, int]  # microseconds since each host was put back
+    start_ages: dict[int, StartAge]  # start times of the hosts and their ages at this process
     is_leaving: bool
     learned: LearnedState
 
 
 class Ready(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The newer process serves: clients are its own from now on."""
+    """The newer process serves and accepts clients from now on."""
 
 
 class Holding(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The descriptors that the older process still has."""
+    """The number of descriptors that the older process still has open."""
 
     descriptors: int
 
 
 class Called(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """An operator has called this at the other process."""
+    """An operator's call that the other process has carried out."""
 
     name: str
     argument: str
 
 
 class Stopped(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Hosts that drain or are gone, as the other process was told."""
+    """Hosts that drain or are gone, as listed at the other process."""
 
     revision: int
     hosts: tuple[HostEntry, ...]
@@ -98,31 +97,31 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """The bytes of a message."""
+    """Return the frame of a message."""
     payload = msgspec.msgpack.encode(message)
     return _HEADER.pack(MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
 class FrameDecoder:
-    """Takes bytes in any pieces and gives out the messages that are whole."""
+    """Collects received bytes and returns the messages that are complete."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take what came; TornError if it can't be read, after which nothing may follow."""
+        """Add received bytes; ProtocolError if they are invalid, after which no more may be fed."""
         self._buffer += data
         messages = []
         while len(self._buffer) >= _HEADER.size:
             magic, length, checksum = _HEADER.unpack_from(self._buffer)
             if magic != MAGIC or length > MAX_PAYLOAD_BYTES:
-                raise ProtocolError("no frame of this version")
+                raise ProtocolError("not a frame of this version, or too large")
             if len(self._buffer) < _HEADER.size + length:
                 break
             payload = self._buffer[_HEADER.size : _HEADER.size + length]
             self._buffer = self._buffer[_HEADER.size + length :]
             if zlib.crc32(payload) != checksum:
-                raise ProtocolError("a frame is not what was sent")
+                raise ProtocolError("checksum mismatch")
             try:
                 messages.append(_decoder.decode(payload))
             except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/whinrouter/handover/relayed.py
+++ b/whinrouter/handover/relayed.py
@@ -1,4 +1,4 @@
-"""An answer whose two sockets came from another process, and that is relayed from the one to the other."""
+"""Answers received from another process: each is relayed from the host's socket to the client's."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 log = logging.getLogger(__name__)
 
-CLIENT_LINGER_SECONDS = 0.5  # seconds for which a client may take to see the end of its answer
+CLIENT_LINGER_SECONDS = 0.5  # for the client to read the end of its answer before the socket is closed
 DRAIN_CHECK_SECONDS = 0.25
 
 
 class RelayedAnswer:
-    """One answer: a flow between two protocols."""
+    """One answer: a flow from the host's connection to the client's."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         now: Callable[[], float],
         on_done: Callable[[RelayedAnswer], None],
     ) -> None:
-        """`length`: bytes of the whole body, if told; `chunked`: its client has it in chunks."""
+        """`length`: bytes of the whole body, if announced; `chunked`: the client receives it in chunks."""
         self.chunked, self.now, self._on_done = chunked, now, on_done
         self.reader = RemainderReader(remainder)
         self.client = _ClientSide(self)
@@ -39,12 +39,12 @@
         self.is_over = False
 
     def connect(self, client: socket.socket, host: socket.socket, client_output: bytes) -> None:
-        """Set both up, frozen. `to_client`: bytes that go out ahead of all others."""
+        """Set up both sockets, paused. `client_output`: bytes to be written before all others."""
         SocketTransport(host, self.host, is_frozen=True)
         SocketTransport(client, self.client, client_output, is_frozen=True)
 
     def activate(self) -> None:
-        """Both are ours alone."""
+        """Start relaying: this process is the only owner of both sockets."""
         log.info("handover: going on with an answer, %s", self.reader.remainder())
         self.flow.attach(self.client, self.now())
         if self.client.is_full:
@@ -53,15 +53,16 @@
         self.host.thaw()
 
     def abandon(self) -> None:
-        """It stays with the process that offered it."""
+        """Discard it: the process that offered it keeps it."""
         self.flow.release()
         self.close()
 
     def write_to_client(self, transport: asyncio.Transport, data: bytes) -> None:
+        """Write a part of the body, as a chunk if the client receives chunks."""
         transport.write(encode_chunk(data) if self.chunked else data)
 
     def host_data_received(self, data: bytes) -> None:
-        """The host gave more of it."""
+        """Pass on data from the host."""
         try:
             body = self.reader.feed(data)
         except BrokenRemainderError as error:
@@ -74,7 +75,7 @@
             self.flow.end()
 
     def host_closed(self, by_reset: bool) -> None:
-        """The host's connection is over."""
+        """The host's connection has ended, which may also be the end of the body."""
         if not self.reader.is_whole:
             if not by_reset and self.reader.end():
                 self.flow.end()
@@ -82,7 +83,7 @@
                 self.flow.fail()
 
     def finish_client(self, transport: asyncio.Transport) -> None:
-        """Its client has all of it: the connection ends behind it."""
+        """All of the body was written: end the body and then the client's connection."""
         if self.chunked:
             transport.write(LAST_CHUNK)
         transport.write_eof()
@@ -93,7 +94,7 @@
     def _close_when_drained(
         self, transport: asyncio.Transport, deadline: float, acknowledged_bytes: int
     ) -> None:
-        """End once the last byte has gone out; a slow reader has time for as long as it reads."""
+        """Close after the last byte has gone out; a slow reader has time for as long as it makes progress."""
         loop, latest_bytes = asyncio.get_running_loop(), self.client.bytes_delivered()
         if latest_bytes > acknowledged_bytes:
             deadline = self.now() + READER_TIMEOUT_SECONDS
@@ -103,16 +104,16 @@
             loop.call_later(DRAIN_CHECK_SECONDS, self._close_when_drained, transport, deadline, latest_bytes)
 
     def close(self) -> None:
-        """Close both."""
+        """Close both connections."""
         self.is_over = True
         self.host.drop()
         self.client.drop()
         self._on_done(self)
 
     def end_if_stuck(self, now: float) -> None:
-        """Cut it off if neither side has moved it for too long."""
+        """Reset the client's connection if neither side has made progress for too long."""
         if self.flow.is_overdue(now) and not self.client.is_frozen:
-            log.warning("a body that was passed on is not moved any more: %s", self.flow)
+            log.warning("closing a relayed answer that makes no progress: %s", self.flow)
             self.client.abort_body()
 
 
@@ -127,36 +128,36 @@
 
     @property
     def descriptor(self) -> int:
-        """Its socket's."""
+        """The socket's descriptor; -1 before it is connected."""
         return int(self.transport.get_extra_info("socket").fileno()) if self.transport is not None else -1
 
     @property
     def is_frozen(self) -> bool:
-        """Whether it neither reads nor writes."""
+        """Whether reading and writing are paused."""
         return self.transport is not None and self.transport.is_frozen
 
     @property
     def is_full(self) -> bool:
-        """Whether it takes no more for now."""
+        """Whether the write buffer is over its limit."""
         return self.transport is not None and self.transport.is_writing_paused
 
     def freeze(self) -> bytes:
-        """Neither read nor write; the bytes that have not gone out."""
+        """Pause reading and writing; return the bytes that were not written yet."""
         return self.transport.freeze() if self.transport is not None else b""
 
     def thaw(self) -> None:
-        """Read and write again."""
+        """Resume reading and writing."""
         if self.transport is not None:
             self.transport.thaw()
 
     def drop(self) -> None:
-        """Close it now."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class _HostSide(_Side):
-    """Where the answer comes from."""
+    """The host's connection, which the answer is read from."""
 
     def data_received(self, data: bytes) -> None:
         self._answer.host_data_received(data)
@@ -180,7 +181,7 @@
 
 
 class _ClientSide(_Side):
-    """Where it goes. What the client sends behind its request is not read: the connection ends."""
+    """The client's connection, which ends with this answer: what the client sends is not read."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
--- a/whinrouter/handover/session.py
+++ b/whinrouter/handover/session.py
@@ -1,12 +1,12 @@
-"""The order in which two processes of a gateway speak; what is out of it ends the line. No I/O.
+"""Phases of the connection between two processes of a gateway; a message out of order is an error. No I/O.
 
-    older:  ASKED --Hello in, Snapshot out--> GIVEN --Ready in--> BESIDE --the end--> OVER
-    newer:  ASKED --Hello out, Snapshot in--> GIVEN --Ready out-> BESIDE --the end--> OVER
+    older:  HANDSHAKE --Hello in, Snapshot out--> SYNCED --Ready in---> BOTH_SERVING --end--> CLOSED
+    newer:  HANDSHAKE --Hello out, Snapshot in--> SYNCED --Ready out--> BOTH_SERVING --end--> CLOSED
 
-From GIVEN on either may tell the other of calls and of hosts that stop, and the older how much it holds.
-The end means: to the newer, that the older has left and all is its own; to the older, that the newer has
-died, or was replaced by a third in its turn, and that clients are its own again, unless it is on its way
-out.
+From SYNCED on either process may report operators' calls and stopped hosts, and the older one the number of
+descriptors it still holds. To the newer process the end of the connection means that the older one has exited
+and all resources are its own. To the older process it means that the newer one has died, or was replaced by a
+third, and that it serves clients again unless it is stopping.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 
 class Phase(Enum):
-    """How far the two are."""
+    """How far the handover has come."""
 
-    HANDSHAKE = "asked"
-    SYNCED = "given"
-    BOTH_SERVING = "beside"
-    CLOSED = "over"
+    HANDSHAKE = "handshake"
+    SYNCED = "synced"
+    BOTH_SERVING = "both serving"
+    CLOSED = "closed"
 
 
-# What may come, by side and step.
+# Messages that each side accepts, by phase.
 _ACCEPTED_BY_OLDER: dict[Phase, tuple[type, ...]] = {
     Phase.HANDSHAKE: (Hello,),
     Phase.SYNCED: (Ready, Called, Stopped),
@@ -52,7 +52,7 @@
 
 
 class HandoverSession:
-    """One side of the line."""
+    """One side's state of the connection."""
 
     def __init__(self, is_newer: bool) -> None:
         self.is_newer = is_newer
@@ -60,20 +60,20 @@
         self._decoder = FrameDecoder()
 
     def feed(self, data: bytes) -> list[Message]:
-        """What the other side has said; TornError if it may not, or can't be read."""
+        """Return the messages received; ProtocolError if one is invalid or not allowed in this phase."""
         messages = self._decoder.feed(data)
         for message in messages:
             if not isinstance(
                 message, (_ACCEPTED_BY_NEWER if self.is_newer else _ACCEPTED_BY_OLDER)[self.phase]
             ):
-                raise ProtocolError(f"{type(message).__name__} came while {self.phase.value}")
+                raise ProtocolError(f"{type(message).__name__} is not allowed in phase {self.phase.value}")
             self.phase = _NEXT_PHASE.get(type(message), self.phase)
         return messages
 
     def mark_ready(self) -> None:
-        """This side, the newer, has said that it serves."""
+        """Record that this side, the newer one, has sent Ready."""
         self.phase = Phase.BOTH_SERVING
 
     def close(self) -> None:
-        """Nothing more is said."""
+        """Record that the connection has ended."""
         self.phase = Phase.CLOSED
--- a/whinrouter/handover/transfer.py
+++ b/whinrouter/handover/transfer.py
@@ -1,20 +1,21 @@
-"""Clients' connections that go on in the next process: sockets, framing, and bytes on their way.
-
-Theory of operation. A process that is replaced hands over each client connection that it need not end itself
-(`net/connection_state.py`), on a socket of its own (`SOCK_SEQPACKET`, beside the line of `channel.py`): one
-message in packets, the first with the descriptors (SCM_RIGHTS) of the client and, where a body is on its way
-between the two, of the host.
-
-    older:  GOING ON --freeze: neither read nor write--> FROZEN --message and descriptors--> OFFERED
-            OFFERED --"held" comes--> let go: close both, without a word to either peer
-            OFFERED --anything else, or nothing in time--> thaw, and go on as before
-    newer:  the message --all is set up, frozen--> "held", and from then on it is its own --thaw--> GOING ON
-
-Nothing is read or written between FROZEN and the end of OFFERED, so that what the message tells stays true.
-Either may be killed at any step: until "held" is said the older one has the connection, and from then on the
-newer one. An older process that waits no longer shuts its end for "held" first, and looks once more whether
-it has come: then it can't be said any more, and both agree. A connection whose framing can't be told now is
-looked at again; one that never can be stays where it is until the process ends.
+"""Transfer of client connections to the next process: sockets, framing, and bytes not yet delivered.
+
+A process that is replaced hands over each client connection that it need not end itself
+(`net/connection_state.py`). Each transfer uses a socket of its own (`SOCK_SEQPACKET`, separate from the
+connection of `channel.py`). It carries one message in packets; the first packet passes the descriptors
+(SCM_RIGHTS) of the client and, while a body moves between the two, of the host.
+
+    older:  ACTIVE --pause: no reads, no writes--> PAUSED --message and descriptors--> OFFERED
+            OFFERED --"held" received--> detached: both sockets are closed here, and neither peer notices
+            OFFERED --any other reply, or none in time--> resumed, and served as before
+    newer:  message received --sockets set up, paused--> "held" sent, which makes it the owner --> ACTIVE
+
+Nothing is read or written between PAUSED and the end of OFFERED, so that the message stays accurate. Either
+process may be killed at any step: until "held" is sent the older one owns the connection, and afterwards the
+newer one. An older process that gives up waiting first shuts down its receiving side and then checks once
+more whether "held" has arrived. After that it can't be sent any more, so both processes agree on the owner.
+A connection whose framing can't be described at this moment is tried again; one whose framing never can be
+stays until the process ends.
 """
 
 from __future__ import annotations
@@ -37,46 +38,46 @@
 
 log = logging.getLogger(__name__)
 
-# Bytes of a message: what may be buffered of one connection, for its client and for its host, and its head.
+# Enough for everything that may be buffered for one connection's client and host, and the other fields.
 MAX_MESSAGE_BYTES = 512 * 1024
-PACKET_BYTES = 32 * 1024  # bytes of one packet
-MAX_DESCRIPTORS = 2  # in one message
-MAX_RELAYED_ANSWERS = 256  # answers that a process goes on with
+PACKET_BYTES = 32 * 1024
+MAX_DESCRIPTORS = 2  # in one message: the client's and the host's
+MAX_RELAYED_ANSWERS = 256  # answers that a process relays at the same time
 HELD_REPLY = b"held"
-REPLY_TIMEOUT_SECONDS = 1.0  # seconds within which the newer process says that it holds both
-PAUSE_TIMEOUT_SECONDS = 3.0  # seconds within which the framing has to be such that it can be told
+REPLY_TIMEOUT_SECONDS = 1.0  # within which the newer process replies that it holds both sockets
+PAUSE_TIMEOUT_SECONDS = 3.0  # within which the framing has to reach a point that can be described
 POLL_INTERVAL_SECONDS = 0.005
 STUCK_CHECK_SECONDS = 0.25
 _LENGTH_PREFIX = struct.Struct(">I")
 
 
 class AnswerTransfer(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
-    """An answer that is under way: the client's and the host's sockets."""
+    """An answer in progress: the client's and the host's sockets."""
 
     remainder: Remainder
-    body_length: int | None  # bytes of the whole body, as its client was told
-    chunked: bool  # its client has it in chunks
-    client_output: bytes = b""  # ready to be written
+    body_length: int | None  # of the whole body, as announced to the client; None: not announced
+    chunked: bool  # the client receives it in chunks
+    client_output: bytes = b""  # to be written first
 
 
 class ClientTransfer(msgspec.Struct, frozen=True, array_like=True, tag="client"):
-    """A client's connection between requests, or within one of which nothing was sent on: its socket."""
+    """A client connection between requests, or within one of which nothing was sent on: its socket."""
 
-    unread_input: bytes  # read, and not used
-    client_output: bytes  # ready to be written
-    closes_connection: bool  # it ends behind them
+    unread_input: bytes  # read from the socket and not parsed yet
+    client_output: bytes  # to be written first
+    closes_connection: bool  # the connection ends after these bytes
 
 
 class UploadTransfer(msgspec.Struct, frozen=True, array_like=True, tag="upload"):
-    """A request whose body is on its way to the host that has a part of it: both sockets."""
+    """A request whose body is being sent to a host that has a part of it: both sockets."""
 
-    remainder: Remainder  # of the body, as its client sends it
-    received_bytes: int  # bytes of it that have come
-    body_length: int | None  # of the whole body, as it was told
-    closes_connection: bool  # the connection ends behind the answer
-    request_id: str
+    remainder: Remainder  # of the body, as the client sends it
+    received_bytes: int  # bytes of the body received so far
+    body_length: int | None  # of the whole body, as announced by the client; None: chunked
+    closes_connection: bool  # the connection ends after the answer
+    client_request_id: str
     class_name: str
-    answer_timeout: int  # microseconds that its client waits from the end of the body
+    client_timeout: int  # microseconds that the client waits after the end of the body
     server_id: int
     client_output: bytes
     host_output: bytes
@@ -87,45 +88,48 @@
 
 
 class TransferableConnection(Protocol):
-    """A connection here, as far as handing it over needs to know."""
+    """A connection of this process that may be handed over."""
 
     def pause(self) -> TransferMessage | None:
-        """Freeze it; None if it can't be told now what is to come, and it goes on."""
+        """Stop reading and writing; return the message that describes the connection.
+
+        None if its framing can't be described at this moment: the connection goes on.
+        """
 
     @property
     def is_over(self) -> bool:
-        """Whether it ended, or is in the middle of something else by now."""
+        """Whether it has ended, or serves another request by now."""
 
     def descriptors(self) -> tuple[int, ...]:
-        """The client's and, if there is one, the host's."""
+        """Return the client's descriptor and, if there is a host, the host's."""
 
     def resume(self) -> None:
-        """It stays here: go on."""
+        """Go on here, as the transfer failed."""
 
     def detach(self) -> None:
-        """Another process holds it: close it here, without a word to either peer."""
+        """Close it here without notifying either peer, as another process owns it."""
 
 
 class AdoptedConnection(Protocol):
-    """A connection of another process that is set up here, and frozen."""
+    """A connection of another process that is set up here, and paused."""
 
     def activate(self) -> None:
-        """It is ours alone: go on."""
+        """Start reading and writing: this process is the only owner."""
 
     def abandon(self) -> None:
-        """It stays with the other process."""
+        """Discard it: the other process keeps the connection."""
 
 
 Adopt = Callable[[ClientTransfer | UploadTransfer, list[socket.socket]], AdoptedConnection]
 
 
 class NoCapacityError(Exception):
-    """There is no place for another connection here."""
+    """This process has no capacity for another connection."""
 
 
 @contextlib.contextmanager
 def _short_path(path: Path) -> Iterator[str]:
-    """The path in few enough characters for a socket's name (108)."""
+    """Yield an alias of the path that fits into a socket address (108 bytes)."""
     directory = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{directory}/{path.name}"
@@ -134,7 +138,7 @@
 
 
 def split_packets(message: TransferMessage) -> list[bytes]:
-    """A message as it is sent: its length, and its text in parts."""
+    """Return a message as packets: its length, then its payload in pieces."""
     payload = msgspec.msgpack.encode(message)
     framed = _LENGTH_PREFIX.pack(len(payload)) + payload
     return [framed[offset : offset + PACKET_BYTES] for offset in range(0, len(framed), PACKET_BYTES)]
@@ -147,14 +151,14 @@
         self._path = path
 
     async def hand_over(self, connection: TransferableConnection) -> bool:
-        """Whether it is the newer process's now; if not it goes on here, unless it is over."""
+        """Return whether the newer process owns it now; if not, it resumes here unless it is over."""
         message = await self._wait_until_paused(connection)
         if message is None:
             return False
         try:
             is_held = await self._send_connection(connection, message)
         except (OSError, TimeoutError) as error:
-            log.warning("handover: a connection can't be passed on: %s", error or "no word in time")
+            log.warning("handover: a connection can't be passed on: %s", error or "no reply in time")
             is_held = False
         if is_held:
             connection.detach()
@@ -193,7 +197,7 @@
 
 
 def _shut_and_check_held(endpoint: socket.socket) -> bool:
-    """Whether "held" has come after all; from now on it can't."""
+    """Return whether "held" has arrived after all; afterwards it can't arrive any more."""
     endpoint.shutdown(socket.SHUT_RD)
     try:
         return endpoint.recv(len(HELD_REPLY)) == HELD_REPLY
@@ -202,22 +206,22 @@
 
 
 class TransferReceiver:
-    """The newer process's side: it goes on with what older ones began."""
+    """The newer process's side: it accepts connections and relays the answers among them."""
 
     def __init__(self, path: Path, now: Callable[[], float], adopt: Adopt | None = None) -> None:
-        """`adopt`: sets up whatever is no answer; None: such connections are not taken."""
+        """`adopt`: sets up connections that are no answers; None: those are rejected."""
         self._path, self._now, self._adopt = path, now, adopt
         self._listener: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.answers: set[RelayedAnswer] = set()
 
     async def open(self) -> None:
-        """Be the one at the path."""
+        """Listen at the path, in place of whichever process had it."""
         self.close()
         try:
             await with_retries(self._listen, LISTEN_RETRY_SECONDS)
         except OSError as error:
-            log.warning("handover: no connection can be passed on here (%s)", error)
+            log.warning("handover: cannot listen for transferred connections (%s)", error)
 
     async def _listen(self) -> None:
         temporary_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
@@ -241,7 +245,7 @@
             self._start_task(self._end_stuck_answers())
 
     def close(self) -> None:
-        """Take nothing more; what was taken goes on."""
+        """Accept no more transfers; connections that were accepted go on."""
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
@@ -253,7 +257,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _end_stuck_answers(self) -> None:
-        """End what nobody moves."""
+        """End answers that make no progress."""
         while True:
             await asyncio.sleep(STUCK_CHECK_SECONDS)
             for answer in list(self.answers):
@@ -261,7 +265,7 @@
 
     def _accept(self) -> None:
         assert self._listener is not None
-        with contextlib.suppress(OSError):  # the next look finds what waits
+        with contextlib.suppress(OSError):  # the event loop calls again for what is still queued
             endpoint, _ = self._listener.accept()
             endpoint.setblocking(False)
             self._start_task(self._handle_transfer(endpoint))
@@ -272,8 +276,10 @@
                 async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
                     await self._receive_transfer(endpoint)
             except (OSError, TimeoutError, msgspec.DecodeError, NoCapacityError) as error:
-                log.warning("handover: a connection was not taken: %s", error or "no whole message in time")
-            except Exception:  # it stays with the older process, which has not heard "held"
+                log.warning(
+                    "handover: a connection was not taken: %s", error or "no complete message in time"
+                )
+            except Exception:  # the older process keeps the connection, as it has not received "held"
                 log.exception("handover: a connection was not taken")
 
     async def _receive_transfer(self, endpoint: socket.socket) -> None:
@@ -281,12 +287,12 @@
             payload, sockets = await self._receive_message(endpoint, cleanup)
             message = _decoder.decode(payload)
             if len(sockets) != (1 if isinstance(message, ClientTransfer) else MAX_DESCRIPTORS):
-                raise OSError("another number of sockets")
+                raise OSError("unexpected number of sockets")
             adopted = self._adopt_connection(message, sockets)
-            cleanup.pop_all()  # they are the transports' now
+            cleanup.pop_all()  # the transports own the sockets now
         try:
             endpoint.send(HELD_REPLY)
-        except OSError:  # the older process waits no longer, and goes on with it
+        except OSError:  # the older process has given up waiting and resumes the connection
             adopted.abandon()
             raise
         adopted.activate()
@@ -294,10 +300,10 @@
     def _adopt_connection(self, message: TransferMessage, sockets: list[socket.socket]) -> AdoptedConnection:
         if not isinstance(message, AnswerTransfer):
             if self._adopt is None:
-                raise NoCapacityError("only answers are taken here")
+                raise NoCapacityError("only answers are accepted here")
             return self._adopt(message, sockets)
         if len(self.answers) >= MAX_RELAYED_ANSWERS:
-            raise NoCapacityError("no place for another answer")
+            raise NoCapacityError("too many relayed answers")
         answer = RelayedAnswer(
             message.remainder, message.body_length, message.chunked, self._now, self.answers.discard
         )
@@ -309,13 +315,13 @@
     async def _receive_message(
         self, endpoint: socket.socket, cleanup: contextlib.ExitStack
     ) -> tuple[bytes, list[socket.socket]]:
-        """The text of a message and the sockets that came with it, which `undo` closes."""
+        """Return a message's payload and the sockets passed with it, which `cleanup` closes."""
         data, descriptors = await self._receive_packet(endpoint, MAX_DESCRIPTORS)
         sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
         for received_socket in sockets:
             cleanup.callback(received_socket.close)
         if len(data) < _LENGTH_PREFIX.size:
-            raise OSError("it ended before its message")
+            raise OSError("the sender closed before its message")
         (length,) = _LENGTH_PREFIX.unpack_from(data)
         if length > MAX_MESSAGE_BYTES:
             raise OSError("the message is too large")
@@ -323,7 +329,7 @@
         while len(payload) < length:
             packet, _ = await self._receive_packet(endpoint, 0)
             if not packet:
-                raise OSError("it ended within its message")
+                raise OSError("the sender closed within its message")
             payload += packet
         return bytes(payload), sockets
 
@@ -336,12 +342,12 @@
                 await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def wait_until_done(self) -> None:
-        """Wait for all answers that were taken."""
+        """Wait until all relayed answers have ended."""
         while self.answers:
             await asyncio.sleep(0.01)
 
     def stop(self) -> None:
-        """The process ends."""
+        """Close the listener and stop all tasks, at the process's end."""
         self.close()
         for task in self._tasks:
             task.cancel()
--- a/whinrouter/interface.py
+++ b/whinrouter/interface.py
@@ -1,7 +1,7 @@
-"""The words the decision module speaks: settings, events and actions.
+"""The interface of the decision module: settings, events and actions.
 
-Every time is a whole number of microseconds; a moment is a reading of whatever clock the host program uses,
-which never runs backwards. Ids are numbers of the host program's choice.
+All times are integers in microseconds. A moment is a reading of the host program's clock, which must never
+run backwards. The host program chooses the ids.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request does."""
+    """Whether a request may run more than once."""
 
     IDEMPOTENT = "idempotent"  # safe to repeat
-    KEYED = "keyed"  # a group of servers drops repeats for a while
-    AT_MOST_ONCE = "at most once"  # must not run twice; also the reading of anything unknown
+    KEYED = "keyed"  # a group of servers drops repeats within the dedup window
+    AT_MOST_ONCE = "at most once"  # must not run twice; unknown values are read as this
 
 
 class Scope(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """The group of servers that drops the repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
-    CELL = "cell"  # also the reading of anything unknown: the narrowest
+    CELL = "cell"  # the narrowest; unknown values are read as this
 
 
 class State(Enum):
-    """What discovery says of a server."""
+    """The state of a server as discovery reports it."""
 
     READY = "ready"
-    DRAINING = "draining"  # also the reading of anything unknown
+    DRAINING = "draining"  # unknown values are read as this
     GONE = "gone"
 
 
 class Update(Enum):
-    """What a `ServerList` holds."""
+    """The kind of a `ServerList`."""
 
-    FULL = "full"  # every server there is
-    STALE = "stale"  # every server this balancer knew before it restarted
+    FULL = "full"  # all servers
+    STALE = "stale"  # all servers that this balancer knew before it restarted
     CHANGES = "changes"  # changed servers only
-    ERROR = "error"  # nothing: asking discovery failed, or a subscription broke
+    ERROR = "error"  # no servers: a request to discovery failed, or a subscription broke
 
 
 class Outcome(Enum):
@@ -56,20 +56,20 @@
 
     OK = "ok"
     ERROR = "error"  # the server answered with an error
-    REJECTED = "rejected"  # turned away unseen: full, or draining
+    REJECTED = "rejected"  # the server refused it without running it: full, or draining
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
-    RESET = "reset"  # the connection broke under the attempt
-    CANCELLED = "cancelled"  # withdrawn by the balancer
+    RESET = "reset"  # the connection broke during the attempt
+    CANCELLED = "cancelled"  # by the balancer
     NOT_SENT = "not sent"
-    LOCAL_FAILURE = "local failure"  # the balancer's own machine could not: it tells nothing of the server
-    UNKNOWN = "unknown"  # anything else: it may have run
+    LOCAL_FAILURE = "local failure"  # the gateway's own machine failed; says nothing about the server
+    UNKNOWN = "unknown"  # anything else: the attempt may have run
 
-    __hash__ = object.__hash__  # there is one of each; an Enum's own hashes its name, in Python, at each look
+    __hash__ = object.__hash__  # members are singletons; Enum's own hash runs Python code at each lookup
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that the server did nothing."""
+        """Whether this outcome proves that the server did not run the request."""
         return self in _NEVER_RAN
 
 
@@ -78,14 +78,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request."""
+    """A class of requests with common time limits and effect.
+
+    Raises `ValueError` if a time is out of range.
+    """
 
     name: str
-    aim: int  # an answer within this time is worth the full worth
-    deadline: int  # a client waits no longer than this, all its tries together
+    aim: int  # an answer within this time has the full worth
+    deadline: int  # the longest time that a client waits, all its retries included
     effect: Effect = Effect.AT_MOST_ONCE
     scope: Scope = Scope.CELL
-    dedup_window: int = 0  # how long a group remembers, from the first attempt that may have run
+    dedup_window: int = 0  # how long a group drops repeats, from the first attempt that may have run
     worth: float = 1.0
     late_worth: float = 0.0
 
@@ -99,35 +102,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a balancer is told at its start."""
+    """The settings of a balancer.
+
+    Raises `ValueError` if a value is out of range.
+    """
 
     classes: tuple[RequestClass, ...]
     zone: str = ""
-    balancers: int = 1  # how many balancers send to the same servers
-    rank: int = 0  # the number of this one among them
+    balancers: int = 1  # number of balancers that send to the same servers
+    rank: int = 0  # the index of this balancer among them
     max_attempts: int = 3
-    may_hedge: bool = False  # a second attempt may start while the first is out
+    may_hedge: bool = False  # a second attempt may start while the first is running
     may_cancel: bool = False
     may_probe: bool = False
-    sends_retry_after: bool = False  # clients are told how long to stay away
-    must_subscribe: bool = False  # discovery sends changes only when asked to
+    sends_retry_after: bool = False  # refusals carry a time after which to retry
+    must_subscribe: bool = False  # discovery sends changes only to subscribers
     load_in_answers: bool = False
     load_in_probes: bool = False
-    warm_keys: bool = False  # a server that has lately met a key does less work for it
-    cold_share: float = 1.0  # a server starts with at least this share of its capacity
-    ramp_time: int = 0  # and is warm after this at the latest
-    cold_overload_multiple: float = 4.0  # sent more than this multiple of its present capacity
-    cold_overload_window: int = SECOND  # for this long, a cold server falls over
-    weight_is_capacity: bool = True  # weights tell how much servers can do, and not how busy they lately were
-    worst_class_weight: float = (
-        0.0  # what the worst-served class counts, as a multiple of what all together do
-    )
+    warm_keys: bool = False  # a server does less work for a key that it has served lately
+    cold_share: float = 1.0  # least share of its capacity that a server has at its start
+    ramp_time: int = 0  # longest time from a server's start to its full capacity
+    # A cold server collapses if it is sent more than this multiple of its capacity within this window.
+    cold_overload_multiple: float = 4.0
+    cold_overload_window: int = SECOND
+    weight_is_capacity: bool = True  # False: weights follow the recent load instead
+    worst_class_weight: float = 0.0  # weight of the worst-served class, as a multiple of that of all classes
     cross_zone_price: float = 0.0
     probe_price: float = 0.0
-    allowances: Mapping[str, float] = field(
-        default_factory=dict
-    )  # of each tenant at this balancer, per second
-    over_allowance_worth: float = 1.0  # what a request beyond its tenant's allowance is worth, as a part
+    # Requests per second of each tenant at this balancer.
+    allowances: Mapping[str, float] = field(default_factory=dict)
+    over_allowance_worth: float = 1.0  # factor on the worth of a request beyond its tenant's allowance
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -146,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One server as discovery describes it."""
+    """A server as discovery describes it."""
 
     id: ServerId
     state: State = State.READY
@@ -168,20 +172,20 @@
 
 
 class Request(NamedTuple):
-    """A client asks; exactly one final answer is owed."""
+    """A client's request, which must get exactly one final answer."""
 
     id: RequestId
     class_name: str
-    timeout: int  # the client leaves after this
-    cost: int = 0  # expected work, roughly; 0: not known
+    timeout: int  # how long the client waits
+    cost: int = 0  # estimate of the work; 0: unknown
     key: str | None = None
-    is_retry: bool = False  # a client's own repeat, where clients mark them
+    is_retry: bool = False  # the client marked it as its own retry
     tenant: str = ""
-    streams_body: bool = False  # its body is sent on as it comes: one attempt at a time
+    streams_body: bool = False  # the body is forwarded as it arrives: no two attempts run at a time
 
 
 class StreamStarted(NamedTuple):
-    """The answer has begun to flow: this attempt is the client's now."""
+    """The answer of an attempt has begun to flow to the client, which gets no other one."""
 
     request: RequestId
     attempt: int
@@ -190,25 +194,25 @@
 
 
 class RequestAdopted(NamedTuple):
-    """Another balancer's request goes on here: its one attempt is out, its body still comes.
+    """A request is taken over from another balancer, with one attempt running and its body incomplete.
 
-    It is never sent again, and refused only once that attempt is known not to have run.
+    The request is never sent again, and is refused only if that attempt proves not to have run.
     """
 
     id: RequestId
     class_name: str
-    timeout: int  # the client leaves this long after its body is whole
+    timeout: int  # how long the client waits once the body is complete
     server: ServerId
 
 
 class BodyReceived(NamedTuple):
-    """The body of a request that `streams` is here as a whole: its time and its servers' work begin."""
+    """The streamed body of a request is complete: its timeout and the work of its servers begin."""
 
     request: RequestId
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt is over; every `Send` gets exactly one."""
+    """An attempt has ended; each `Send` is followed by exactly one of these."""
 
     request: RequestId
     attempt: int
@@ -217,20 +221,19 @@
     latency: int
     client_answered: bool  # the client has its final answer
     load: dict[str, float] | None = None
-    local_delay: int = (
-        0  # time that was none of the server's: its answer lay here unread, the body was still to come
-    )
-    body_consumed: bool = False  # a part of the request can't be had again: no other attempt
+    # Part of the latency that the server did not cause: its answer lay unread, or the body was incomplete.
+    local_delay: int = 0
+    body_consumed: bool = False  # a part of the body is lost to further attempts: none may start
 
 
 class RequestGone(NamedTuple):
-    """The client left: nothing is owed any more."""
+    """The client has left; no answer is owed any more."""
 
     request: RequestId
 
 
 class ProbeEnded(NamedTuple):
-    """A probe is over."""
+    """A probe has ended."""
 
     server: ServerId
     outcome: Outcome
@@ -239,7 +242,7 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer set earlier is due."""
+    """A timer has expired."""
 
     token: str
 
@@ -260,12 +263,12 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt; attempts of a request count from 0 in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered from 0 in the order of their sends."""
 
     request: RequestId
     server: ServerId
-    expires: int = 0  # moment at which to give the attempt up; 0: when the client does
-    # Moment from which on its first byte may not leave while another attempt may have run; 0: there is none.
+    expires: int = 0  # moment at which to give up the attempt; 0: the client's deadline
+    # Moment from which its first byte must not be written if another attempt may have run; 0: no limit.
     write_before: int = 0
 
 
@@ -277,26 +280,26 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: turned away, and trying again is harmless."""
+    """Final answer: refused, and a retry is safe."""
 
     request: RequestId
     retry_after: int = 0
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, and nothing is promised."""
+    """Final answer: failed, and the request may have run."""
 
     request: RequestId
 
 
 class Probe(NamedTuple):
-    """Ask a server how it does."""
+    """Ask a server for its load."""
 
     server: ServerId
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `TimerFired` after a delay; one about an attempt need not fire once that has ended."""
+    """Request a `TimerFired` after a delay; not needed any more once the attempt named here has ended."""
 
     delay: int
     token: str
@@ -305,7 +308,7 @@
 
 
 class Subscribe(NamedTuple):
-    """Ask discovery for its changes from now on."""
+    """Subscribe to the changes of discovery."""
 
 
 Action = Send | Cancel | Refuse | Fail | Probe | SetTimer | Subscribe
@@ -313,41 +316,42 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request, as the balancer keeps it."""
+    """The balancer's record of one attempt of a request."""
 
     server: Server
     sent_at: int
-    is_trial: bool = False  # the half-open trial of its server
-    is_class_trial: bool = False  # the half-open trial of its class there
-    is_counted: bool = False  # its server has had the verdict while it was out
-    is_streaming: bool = False  # the client's own since its answer began
-    outcome: Outcome | None = None  # None while it is out
-    late_multiple: float = 0.0  # the multiple of the usual time after which it is late
-    awaits_body: bool = False  # its server has not the whole request yet, and so no work from it
+    is_trial: bool = False  # the half-open trial of its server's breaker
+    is_class_trial: bool = False  # the half-open trial of its server's breaker for the class
+    is_counted: bool = False  # it has already been counted for or against its server
+    is_streaming: bool = False  # its answer flows to the client
+    outcome: Outcome | None = None  # None while it is running
+    late_multiple: float = 0.0  # the multiple of the expected latency after which it is late
+    awaits_body: bool = False  # the server lacks a part of the body, and does no work for it yet
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the server may have run the request."""
         return self.outcome is None or not self.outcome.never_ran
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request the balancer still owes an answer, or whose attempts are still out."""
+    """A request that is owed an answer, or that has running attempts."""
 
     request: Request
     request_class: RequestClass
     arrived_at: int
     deadline: int
-    max_attempts: int  # attempts that it may have, as it was taken
-    body_consumed: bool = False  # a part of it can't be had again
+    max_attempts: int  # by the settings in force at its arrival
+    body_consumed: bool = False  # a part of its body is lost to further attempts
     fallback: ServerId | None = None
     attempts: list[Attempt] = field(default_factory=list)
     is_answered: bool = False
-    body_incomplete: bool = False  # its body is sent on as it comes, and has not come whole
+    body_incomplete: bool = False  # its body is streamed and has not arrived completely
 
     @property
     def running_attempts(self) -> list[int]:
-        """The numbers of the attempts that are out."""
+        """The numbers of the running attempts."""
         return [number for number, attempt in enumerate(self.attempts) if attempt.outcome is None]
 
     @property
--- a/whinrouter/invariants/__init__.py
+++ b/whinrouter/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""What must hold for every request, checked as it runs: events, guards and the count of violations."""
+"""What must hold for every request, checked at run time: events, guards and the count of violations."""
--- a/whinrouter/invariants/events.py
+++ b/whinrouter/invariants/events.py
@@ -1,9 +1,9 @@
-"""The latest state changes of one process, kept in a bounded ring. No I/O, no clock.
+"""The latest state changes of one process, in a bounded ring buffer. No I/O, no clock.
 
-Each request leaves a few events: that it was admitted, each attempt with its reason and its end, its answer
-or its client's end. So do closed connections of clients, and what happens to the process itself. The ring is
-read when an invariant is violated and when an operator asks; recording has to be cheap, so that what is kept
-are plain tuples, which `events` gives out typed.
+Each request leaves a few events: its admission, each attempt with its reason and its end, and its answer or
+its client's end. Closed client connections and events of the process itself are recorded too. The ring is
+read when an invariant is violated and when an operator asks for it. Recording has to be cheap, so the ring
+holds plain tuples, which `events` returns as typed ones.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-CAPACITY = 2048  # events, some 200 bytes each; a busy process fills it within a second
-NO_REQUEST = 0  # in place of a request's number, for what happens to the process
+CAPACITY = 2048  # events of some 200 bytes each; a busy process fills the ring within a second
+NO_REQUEST = 0  # in place of a request's number, for events of the process
 
 
 class EventKind(Enum):
@@ -22,10 +22,10 @@
     ADMITTED = "admitted"
     WAITING = "waiting"  # an attempt waits for its connection
     SENT = "sent"
-    ENDED = "ended"  # an attempt
+    ENDED = "ended"  # of an attempt
     ANSWERED = "answered"
-    GONE = "gone"  # its client left
-    CLOSED = "closed"  # a connection of a client
+    GONE = "gone"  # the client left
+    CLOSED = "closed"  # of a client connection
     VIOLATED = "violated"
     RELOADED = "reloaded"
     STOPPING = "stopping"
@@ -34,11 +34,11 @@
 
 
 class Event(NamedTuple):
-    """One event; `moment` in microseconds of the module's clock."""
+    """One event; `moment` is in microseconds of the decision module's clock."""
 
     moment: int
     kind: EventKind
-    request: int  # the gateway's number for it; `PROCESS` for none
+    request: int  # the gateway's number for it, or `NO_REQUEST`
     attempt: int
     detail: str
 
@@ -54,9 +54,9 @@
         self._events: deque[tuple[int, EventKind, int, int, str]] = deque(maxlen=capacity)
 
     def record(self, moment: int, kind: EventKind, request: int, attempt: int, detail: str) -> None:
-        """Keep one event, in the place of the oldest."""
+        """Add an event; the oldest one is dropped when the ring is full."""
         self._events.append((moment, kind, request, attempt, detail))
 
     def events(self, request: int | None = None) -> list[Event]:
-        """What is kept, the oldest first; of one request if it is named."""
+        """The recorded events, oldest first; only those of one request if it is given."""
         return [Event(*event) for event in self._events if request is None or event[2] == request]
