--- a/whinrouter/invariants/lifecycle.py
+++ b/whinrouter/invariants/lifecycle.py
@@ -1,17 +1,17 @@
-"""The life of a request, and one guard each for starting, sending, repeating, answering and closing.
+"""The lifecycle of a request, and a guard for each act on it: starting, sending, repeating, answering,
+closing.
 
-Theory of operation. The driver asks a guard before it does any of these, wherever the wish came from: the
-module, a timer, a client, a host, a list or the end of the process. A guard knows what was done for the
-request so far and nothing of why it is to be done now.
+Theory of operation. The driver asks a guard before it does any of these, whatever has caused the act: the
+decision module, a timer, a client, a host, a list of hosts or the end of the process. A guard knows what was
+done for the request so far, and nothing of the cause.
 
     ADMITTED --an attempt waits for its connection--> WAITING --its first byte leaves--> SENT
     ADMITTED, SENT --an attempt goes out on an idle connection-----------------------------> SENT
     any of these --the final answer--> ANSWERED          any of these --the client leaves--> GONE
 
-ANSWERED and GONE are final. What a guard finds violated is counted (`violations.py`). Where the request can
-still be saved the guard also says no: an attempt that may not begin is not sent, a refusal that would promise
-too much becomes a failure, and a second answer is dropped. It reads no clock and does no I/O; moments are
-microseconds of one clock.
+ANSWERED and GONE are final. Each violation is counted (`violations.py`). Where the request can still be saved
+the guard also refuses: an attempt that may not begin is not sent, a refusal that would promise too much
+becomes a failure, and a second answer is dropped. No clock, no I/O; moments are microseconds of one clock.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from whinrouter.invariants.events import NO_REQUEST, EventKind, EventRing
 from whinrouter.invariants.violations import Invariant, Violations
 
-DEADLINE_SLACK = 150 * MS  # by which what a host is told may pass what the client has left
-ANSWER_SLACK = 500 * MS  # for which an answer after the client's time is worth nothing, but not lost
+DEADLINE_SLACK = 150 * MS  # a host may be given this much more time than the client has left
+ANSWER_SLACK = 500 * MS  # an answer this long after the deadline is worth nothing, but no violation
 REFUSALS = frozenset({429, 503})
 
 
 class RequestState(Enum):
-    """How far a request is."""
+    """The state of a request."""
 
     ADMITTED = "admitted"
     WAITING = "waiting"
@@ -41,7 +41,7 @@
 
 
 class CloseReason(Enum):
-    """Why a connection of a client is closed."""
+    """Why a client connection is closed."""
 
     CLIENT_LEFT = "its client left"
     BAD_INPUT = "what it sent can't be read"
@@ -57,7 +57,7 @@
     PASSED_ON = "another process goes on with its answer"
 
 
-# What ends a request by no act of this gateway's own; any other reason has to find nothing owed.
+# Reasons that end a request from outside. With any other reason no answer may be owed on the connection.
 FREES_REQUEST = frozenset(
     {
         CloseReason.CLIENT_LEFT,
@@ -75,22 +75,22 @@
     def __init__(self, request: int, request_class: RequestClass | None, deadline: int) -> None:
         self.request = request
         self.state = RequestState.ADMITTED
-        self.deadline = deadline  # of its client, less what its way takes
+        self.deadline = deadline  # the client's, less the time on the network
         self.request_class = request_class  # None: a class never announced, which may not run twice
         self.attempts_sent = 0  # attempts whose first byte has left
-        self.attempts_not_run = 0  # how many of these have ended so that nothing ran
-        self.first_sent = 0  # moment of the first attempt that may have run, and where it went
-        self.first_server: Server | None = None
+        self.attempts_not_run = 0  # how many of these have ended without running
+        self.first_sent = 0  # moment of the first attempt that may have run
+        self.first_server: Server | None = None  # and the host it was sent to
         self.last_outcome = ""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt has, or yet may."""
+        """Whether an attempt has run, or still may."""
         return self.attempts_sent > self.attempts_not_run
 
 
 class Guards:
-    """The guards of one process; every path that does anything for a request asks here."""
+    """The guards of one process; every path that acts on a request asks here."""
 
     def __init__(self, settings: Settings) -> None:
         self.ring = EventRing()
@@ -99,18 +99,18 @@
         self.retune(settings)
 
     def retune(self, settings: Settings) -> None:
-        """Requests that are under way keep their class."""
+        """Apply new settings; requests in progress keep their class."""
         self._classes = {request_class.name: request_class for request_class in settings.classes}
 
     def admit(self, request: int, class_name: str, deadline: int, now: int, name: str) -> RequestLifecycle:
-        """A request is taken on: an answer is owed from now on."""
+        """A request is admitted: it is owed an answer from now on. `name`: its id, as the client gave it."""
         self.ring.record(now, EventKind.ADMITTED, request, 0, name)
         return RequestLifecycle(request, self._classes.get(class_name), deadline)
 
     def adopt(
         self, request: int, class_name: str, deadline: int, server: Server, now: int, name: str
     ) -> RequestLifecycle:
-        """Another process's request goes on here, with its one attempt out at this server."""
+        """A request of another process continues here, with its one attempt out at this host."""
         life = self.admit(request, class_name, deadline, now, name)
         life.state, life.attempts_sent = RequestState.SENT, 1
         life.first_sent, life.first_server = now, server
@@ -118,7 +118,7 @@
         return life
 
     def hand_over(self, life: RequestLifecycle, now: int) -> None:
-        """Another process goes on with it, and owes its answer."""
+        """Another process continues the request, and owes its answer."""
         life.state = RequestState.GONE
         self.ring.record(now, EventKind.GONE, life.request, 0, "another process goes on with it")
 
@@ -133,9 +133,10 @@
     def may_send(
         self, life: RequestLifecycle, attempt: int, server: Server, is_ready: bool, timeout: int, now: int
     ) -> bool:
-        """Whether the first byte of an attempt may leave now; `told`: the microseconds that its host hears.
+        """Whether the first byte of an attempt may leave now; if so, the attempt counts as sent.
 
-        `ready`: whether the host may be sent to, as this process has been told.
+        `is_ready`: the host may be sent to, as far as this process knows. `timeout`: the microseconds that
+        the host is given for its answer.
         """
         if life.state in FINAL_STATES or now > life.deadline:
             why = life.state.value if life.state in FINAL_STATES else "its time is up"
@@ -179,15 +180,15 @@
     def attempt_ended(
         self, life: RequestLifecycle, attempt: int, has_begun: bool, outcome: Outcome, now: int
     ) -> None:
-        """An attempt is over; `begun`: `may_send` has let it begin."""
+        """An attempt is over; `has_begun`: `may_send` had let it begin."""
         life.attempts_not_run += has_begun and outcome.never_ran
         life.last_outcome = outcome.value
         self.ring.record(now, EventKind.ENDED, life.request, attempt, outcome.value)
 
     def may_answer(self, life: RequestLifecycle, status: int, is_served: bool, why: str, now: int) -> int:
-        """The status that a final answer may have; 0: there may be none any more.
+        """The status that a final answer may have; 0 if no answer may be given any more.
 
-        `served`: it is what a host answered to an attempt of this request.
+        `is_served`: the answer is a host's answer to an attempt of this request. `why`: logged as the reason.
         """
         if life.state in FINAL_STATES:
             self._violated(Invariant.ANSWERED_ONCE, life, now, f"{status}, though {life.state.value}")
@@ -213,30 +214,31 @@
         return request_class.effect is Effect.IDEMPOTENT or request_class.scope is Scope.ALL
 
     def client_left(self, life: RequestLifecycle, now: int) -> None:
-        """The client has left: nothing is owed."""
+        """The client has left: no answer is owed any more."""
         if life.state is not RequestState.ANSWERED:
             life.state = RequestState.GONE
         self.ring.record(now, EventKind.GONE, life.request, 0, "its client left")
 
     def connection_closed(self, request: int, is_owed: bool, reason: CloseReason, now: int) -> None:
-        """A client's connection is closed.
+        """A client connection is closed.
 
-        `request`: the one in work there, or `PROCESS`; `owed`: whether it, or one that waits behind it, has
-        no final answer yet.
+        `request`: the one in progress there, or `NO_REQUEST`. `is_owed`: that request, or one that is queued
+        behind it, has no final answer yet.
         """
         self.ring.record(now, EventKind.CLOSED, request, 0, reason.value)
         if is_owed and reason not in FREES_REQUEST:
             self.violations.add(Invariant.CLOSED_WHEN_FREE, now, request, reason.value)
 
     def process_event(self, kind: EventKind, detail: str, now: int) -> None:
-        """Something befell the process."""
+        """Record an event of the process."""
         self.ring.record(now, kind, NO_REQUEST, 0, detail)
 
     def process_exiting(self, unanswered: int, now: int) -> None:
-        """The process ends while so many requests are owed an answer."""
+        """The process ends while this many requests are owed an answer."""
         if unanswered:
             self.violations.add(Invariant.ANSWERED_AT_EXIT, now, NO_REQUEST, f"{unanswered} held")
 
     def _violated(self, invariant: Invariant, life: RequestLifecycle, now: int, detail: str) -> bool:
+        """Count a violation; False, for the guards that return it."""
         self.violations.add(invariant, now, life.request, detail)
         return False
--- a/whinrouter/learned_state.py
+++ b/whinrouter/learned_state.py
@@ -1,10 +1,10 @@
-"""What one balancer tells another that goes on in its place.
+"""What a balancer hands over to its successor in another process.
 
-It goes from process to process (`handover/words.py`), whose reader goes by the types of the fields. A
-compiled module keeps less of these than it reads, so this one is not compiled.
+`handover/messages.py` encodes it by the types of the fields. A compiled module does not keep all of these
+types at run time, so this module is not compiled.
 
-The clocks of two processes need not agree, so nothing here is a moment of either: all times are spans in
-microseconds, from a moment to the one at which this was said (`age_of`), or from that one on.
+The clocks of two processes may differ. So there are no moments here: all times are spans in microseconds,
+from a moment to the export (`age_of`), or from the export on.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 def age_of(moment: int, now: int) -> int | None:
-    """The span since a moment; None for 0, which stands for never or long ago."""
+    """Return the span since a moment; None for 0, which means never or long ago."""
     return now - moment if moment else None
 
 
 def moment_of(age: int | None, now: int) -> int:
-    """The moment that lies so long back; 0 for None."""
+    """Return the moment of this age; 0 for None."""
     return now - age if age is not None else 0
 
 
 class BreakerState(NamedTuple):
-    """A breaker: its failures' ages, the time to its half-opening (None: it is closed), its next cooldown."""
+    """A breaker: the ages of its failures, the time until it is half-open (None: closed), its cooldown."""
 
     failures: tuple[int, ...]
     half_open_in: int | None
@@ -33,20 +33,20 @@
 
 
 class LearnedServerState(NamedTuple):
-    """What was learnt of a server since its start."""
+    """What a balancer has learned about a server since its start."""
 
     server_id: ServerId
     age: int | None  # since its start
     limit: float
     latency_ratio: float
-    latency_ratio_age: int | None  # the age of that
-    slow_start_tokens: float  # of its slow start
+    latency_ratio_age: int | None
+    slow_start_tokens: float
     breaker: BreakerState
     class_breakers: dict[str, BreakerState]
 
 
 class LearnedState(NamedTuple):
-    """All that is worth more than a fresh start."""
+    """What a balancer has learned; the tables are by class or kind of server, as in `Balancer`."""
 
     servers: tuple[LearnedServerState, ...]
     unit_latencies: dict[str, float]
@@ -54,6 +54,6 @@
     late_multiples: dict[str, float]
     longest_timeouts: dict[str, int]
     work_done: dict[str, float]
-    work_age: int | None  # the age of what was served
+    work_age: int | None  # age of `work_done`
     admitted_share: float
-    admitted_share_age: int | None  # the age of the latest sign of load
+    admitted_share_age: int | None  # age of the last answer that changed the share
--- a/whinrouter/membership/__init__.py
+++ b/whinrouter/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of hosts comes from, beside the platform's watch."""
+"""The list of hosts: retry policy and format of the discovery watch, start times, ZooKeeper's protocol."""
--- a/whinrouter/membership/json_stream.py
+++ b/whinrouter/membership/json_stream.py
@@ -1,15 +1,16 @@
-"""JSON texts out of a stream that comes in any pieces. No I/O.
+"""Splits a stream of JSON documents, which arrives in any pieces, into the single documents. No I/O.
 
-Theory of operation. A watch on the list of hosts is one text after another, each ended by the end of a line,
-and empty lines in between while nothing changes. Most services write a text on one line; some lay it out
-over many, with or without indentation. So a text is whole at the end of the line in which its last bracket
-closes:
+Theory of operation. A watch on the list of hosts sends one document after another, each ended by the end of a
+line, and empty lines in between while nothing changes. Most services write a document on one line; some lay
+it out over many, with or without indentation. So a document is whole at the end of the line in which its last
+bracket closes:
 
     BETWEEN --a line that opens more than it closes--> INSIDE --the line that closes the last one--> BETWEEN
 
-A string never goes over the end of a line, and no layout has an empty line inside a text: either shows that
-the text broke off, as does a bracket that closes what none has opened. What broke off is told at once, as
-what it held would be missing from the list for good. Whether a text means anything, its reader finds out.
+A string never extends over the end of a line, and no layout has an empty line inside a document: either shows
+that the document broke off, as does a closing bracket without an opening one. This is an error at once, as
+the changes in the document would be missing from the list for good. Whether a document is valid JSON is left
+to its parser.
 """
 
 from __future__ import annotations
@@ -21,23 +22,23 @@
 
 
 class DocumentSplitter:
-    """Takes bytes and gives out texts that are whole; at most `most` bytes wait here."""
+    """Takes bytes and returns whole documents; buffers at most `max_bytes`."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._rest = b""  # of a line that has no end yet
-        self._lines: list[bytes] = []  # of the text that has begun
-        self._size = 0  # bytes of these
-        self._depth = 0  # brackets that are open
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        self._rest = b""  # the last line, which has not ended yet
+        self._lines: list[bytes] = []  # of the current document
+        self._size = 0  # bytes of these lines
+        self._depth = 0  # open brackets
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Give each text as its last line ends, and b"" for each empty line between two.
+        """Yield each document as its last line ends, and b"" for each empty line between two documents.
 
-        ValueError if a text broke off, or is larger than may be: nothing may be fed after that.
+        ValueError if a document broke off or is too large, after which nothing more may be fed.
         """
         *lines, self._rest = (self._rest + data).split(b"\n")
-        if self._size + len(self._rest) > self._most:
-            raise ValueError("a list has no end")
+        if self._size + len(self._rest) > self._max_bytes:
+            raise ValueError("a list is too large, or has no end")
         for line in lines:
             yield from self._line(line.strip())
 
@@ -52,11 +53,11 @@
             raise ValueError("a list broke off inside a string")
         self._depth += marks.count(b"{") + marks.count(b"[") - marks.count(b"}") - marks.count(b"]")
         if self._depth < 0:
-            raise ValueError("a list closes more than it opens")
+            raise ValueError("a list has a closing bracket too many")
         self._lines.append(line)
         self._size += len(line)
-        if self._size > self._most:
-            raise ValueError("a list has no end")
+        if self._size > self._max_bytes:
+            raise ValueError("a list is too large, or has no end")
         if not self._depth:
-            text, self._lines, self._size = b"\n".join(self._lines), [], 0
-            yield text
+            document, self._lines, self._size = b"\n".join(self._lines), [], 0
+            yield document
--- a/whinrouter/membership/start_times.py
+++ b/whinrouter/membership/start_times.py
@@ -1,18 +1,19 @@
-"""When hosts started, as moments of this machine's monotonic clock. No I/O, no clock.
-
-Theory of operation. A list tells each host's latest start in Unix time, by clocks of other machines. Ours
-may have been stepped by seconds or by an hour, so the two are never compared. What can be relied on is that
-a start differs from the one told before, and when this process first saw that:
-
-    first list:    the newest start in it counts as now, every other one as so much earlier as it is told
-    later lists:   a start that was not told before counts as now
-    hand-over:     a start has the age that the process before this one had given it
-
-Bound. A start counts as no earlier than it was, so a host is never taken for warmer than it is: in later
-lists and over hand-overs whatever any clock says, and in a first list as long as the clocks that the starts
-of one list were read from agree. It counts as later by the delay of the list that told it and, in a first
-list, by the age of the newest start; a host is cold for that much longer, and its own answers
-(`slowstart.py`) let it have more.
+"""The start times of hosts, as moments of this machine's monotonic clock. No I/O, no clock.
+
+Theory of operation. A list reports each host's latest start in Unix time, by the clocks of other machines.
+The local clock may have been stepped by seconds or by an hour, so the two are never compared. What is
+reliable is that a start differs from the one reported before, and the moment at which this process first saw
+that:
+
+    first list:    the newest start in it counts as now, each other one as that much earlier as it is reported
+    later lists:   a start that was not reported before counts as now
+    handover:      a start has the age that the process before this one had given it
+
+Bound. A start counts as no earlier than it was, so a host is never treated as warmer than it is: in later
+lists and over handovers whatever any clock says, and in a first list as long as the clocks from which its
+starts were read agree. A start counts as too late by the delay of the list that reported it and, in a first
+list, by the age of the newest start. The host is treated as cold for that much longer, and its own answers
+(`slowstart.py`) allow it more requests meanwhile.
 """
 
 from __future__ import annotations
@@ -23,30 +24,30 @@
 
 from whinrouter.interface import Server, ServerId
 
-SPARE_ENTRIES = 256  # kept beside those of the listed hosts, for hosts that left and come back
+SPARE_ENTRIES = 256  # kept in addition to the listed hosts, for hosts that are gone and return
 
 
 class StartAge(NamedTuple):
-    """A start as another process goes on from it."""
+    """A start in the form that is handed over to another process."""
 
     reported: int  # Unix time in microseconds, as the lists have it
-    age: int  # microseconds since then
+    age: int  # microseconds for which the start has counted
 
 
 class _Start(NamedTuple):
-    reported: int
-    moment: int
+    reported: int  # Unix time in microseconds, as the lists have it
+    moment: int  # of the local monotonic clock, at which the start counts
 
 
 @dataclass(slots=True)
 class StartTimes:
-    """The starts that were told, each with the moment from which it counts; times in microseconds."""
+    """The reported starts, each with the moment at which it counts; times are in microseconds."""
 
     _starts: dict[ServerId, _Start] = field(default_factory=dict)
     _had_list: bool = False
 
     def localise(self, servers: Iterable[Server], now: int) -> tuple[Server, ...]:
-        """The servers of a list with `started` as a moment of our clock; 0, long ago, stays 0."""
+        """The servers of a list with `started_at` as a moment of the local clock; 0 (long ago) stays 0."""
         listed = tuple(servers)
         newest = max((server.started_at for server in listed), default=0)
         is_first_list = not self._had_list
@@ -62,7 +63,7 @@
         )
 
     def trim(self, listed: Collection[ServerId]) -> None:
-        """Forget those that left first, once there are more than `SPARE_ENTRIES` beside the listed ones."""
+        """Drop the oldest entries that exceed `SPARE_ENTRIES` in addition to the listed hosts."""
         surplus = len(self._starts) - len(listed) - SPARE_ENTRIES
         if surplus <= 0:
             return
@@ -70,14 +71,14 @@
             del self._starts[server_id]
 
     def ages(self, now: int) -> dict[ServerId, StartAge]:
-        """What a process that takes over goes on from."""
+        """The starts as they are handed over to another process."""
         return {
             server_id: StartAge(start.reported, now - start.moment)
             for server_id, start in self._starts.items()
         }
 
     def adopt(self, ages: Mapping[ServerId, StartAge], now: int) -> None:
-        """Go on from what another process of this gateway knows."""
+        """Continue from the starts that another process of this gateway handed over."""
         self._starts = {
             server_id: _Start(known.reported, now - known.age) for server_id, known in ages.items()
         }
--- a/whinrouter/membership/zookeeper/jute.py
+++ b/whinrouter/membership/zookeeper/jute.py
@@ -1,7 +1,8 @@
 """Jute, the encoding of ZooKeeper's client protocol, and its frames (zookeeper.jute of Apache ZooKeeper 3.9).
 
-Numbers are big-endian; a buffer or text has its length before it, -1 for none; a frame is a length and as
-many bytes. Whatever comes, reading raises nothing but `JuteError` and holds no more than the frame's bytes.
+Numbers are big-endian; a buffer or string has its length before it, -1 for null; a frame is a length and as
+many bytes. Whatever arrives, decoding raises nothing but `JuteError` and holds no more than the bytes of one
+frame.
 """
 
 from __future__ import annotations
@@ -10,10 +11,9 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-MAX_FRAME_BYTES = (
-    1024 * 1024 + 64 * 1024
-)  # jute.maxbuffer's default is 1 MiB of data; the rest is names and stat
-MAX_VECTOR_LENGTH = 100_000  # entries of one vector: ten times the children that a node should have
+# The default of jute.maxbuffer is 1 MiB of data; the rest is for names and metadata.
+MAX_FRAME_BYTES = 1024 * 1024 + 64 * 1024
+MAX_VECTOR_LENGTH = 100_000  # ten times the number of children that a node should have
 
 T = TypeVar("T")
 
@@ -21,11 +21,11 @@
 
 
 class JuteError(Exception):
-    """What came is not this protocol; the connection is of no more use."""
+    """The data is not valid in this protocol; the connection can't be used any more."""
 
 
 class Writer:
-    """Builds one record."""
+    """Encodes one record. Each method appends a value and returns the writer."""
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []
@@ -57,15 +57,17 @@
         return self
 
     def raw(self, value: bytes) -> Writer:
+        """Append bytes that are encoded already."""
         self._parts.append(value)
         return self
 
     def to_bytes(self) -> bytes:
+        """The record that was written so far."""
         return b"".join(self._parts)
 
 
 class Reader:
-    """Reads one record; JuteError where it ends too soon or holds what cannot be."""
+    """Decodes one record. Each method raises JuteError if the record is too short or the value is invalid."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
@@ -74,14 +76,14 @@
     def _take(self, count: int) -> bytes:
         end = self._position + count
         if count < 0 or end > len(self._data):
-            raise JuteError("the record ends too soon")
+            raise JuteError("the record is too short")
         value = self._data[self._position : end]
         self._position = end
         return value
 
     @property
     def remaining(self) -> int:
-        """Bytes that were not read yet."""
+        """The number of bytes that were not read yet."""
         return len(self._data) - self._position
 
     def i32(self) -> int:
@@ -96,19 +98,20 @@
     def buffer(self) -> bytes | None:
         length = self.i32()
         if length < -1:
-            raise JuteError("a length is below -1")
+            raise JuteError("a buffer has a negative length")
         return None if length == -1 else self._take(length)
 
     def string(self) -> str:
+        """A string; a null one is returned as empty."""
         try:
             return (self.buffer() or b"").decode()
         except UnicodeDecodeError:
             raise JuteError("a string is not UTF-8") from None
 
     def vector(self, read_entry: Callable[[], T]) -> list[T]:
-        """A vector of what `one` reads."""
+        """A vector of entries that `read_entry` reads."""
         count = self.i32()
-        # Each entry takes four bytes at least, so that a count that cannot be is known before any is read.
+        # Each entry takes at least four bytes, so an impossible count is detected before any entry is read.
         if count > MAX_VECTOR_LENGTH or 4 * count > self.remaining:
             raise JuteError("a vector is longer than its record")
         return [read_entry() for _ in range(max(0, count))]
@@ -118,14 +121,14 @@
 
 
 class FrameDecoder:
-    """Cuts what comes into frames; what is held is one frame at most."""
+    """Splits a stream into frames; buffers at most one frame."""
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
         self._max_bytes = max_bytes
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are now whole; JuteError at a length that no frame has. Nothing may follow that."""
+        """Return the frames that are whole now; JuteError at an invalid length, which ends the stream."""
         self._buffer += data
         frames = []
         while len(self._buffer) >= _INT.size:
@@ -140,5 +143,5 @@
 
 
 def encode_frame(record: bytes) -> bytes:
-    """A record as it is sent."""
+    """A record as it is sent, with its length in front."""
     return _INT.pack(len(record)) + record
--- a/whinrouter/membership/zookeeper/records.py
+++ b/whinrouter/membership/zookeeper/records.py
@@ -1,4 +1,8 @@
-"""The protocol's numbers and records (zookeeper.jute, ZooDefs.OpCode and KeeperException.Code of 3.9)."""
+"""The constants and records of ZooKeeper's protocol.
+
+They follow zookeeper.jute, ZooDefs.OpCode and KeeperException.Code of Apache ZooKeeper 3.9. Each record is
+encoded by its `write` and decoded by its `read`, which raises JuteError.
+"""
 
 from __future__ import annotations
 
@@ -7,11 +11,12 @@
 
 from whinrouter.membership.zookeeper.jute import Reader, Writer
 
+# Transaction ids of records that belong to no numbered request.
 WATCH_XID, PING_XID, AUTH_XID, SET_WATCHES_XID = -1, -2, -4, -8
 
 
 class OpCode(IntEnum):
-    """What a request asks for."""
+    """The operation of a request."""
 
     CREATE = 1
     DELETE = 2
@@ -34,7 +39,7 @@
 
 
 class ErrorCode(IntEnum):
-    """How a request ended."""
+    """The result of a request."""
 
     OK = 0
     RUNTIME_INCONSISTENCY = -2
@@ -51,7 +56,7 @@
 
 
 class EventType(IntEnum):
-    """What a watch tells."""
+    """The change that a watch reports."""
 
     CREATED = 1
     DELETED = 2
@@ -60,7 +65,7 @@
 
 
 class CreateMode(IntEnum):
-    """How a node is made; these add up."""
+    """The flags with which a node is created."""
 
     PERSISTENT = 0
     EPHEMERAL = 1
@@ -68,11 +73,11 @@
     EPHEMERAL_SEQUENTIAL = 3
 
 
-CONNECTED = 3  # the state of a watch's event: the session lives
+CONNECTED = 3  # KeeperState of a watcher event: the session is connected
 
 
 class Stat(NamedTuple):
-    """What a node's history comes to."""
+    """The metadata of a node; the names are those of zookeeper.jute, shortened."""
 
     czxid: int = 0
     mzxid: int = 0
@@ -81,9 +86,9 @@
     version: int = 0
     cversion: int = 0
     aversion: int = 0
-    owner: int = 0  # the session of an ephemeral node; 0: none
-    length: int = 0
-    children: int = 0
+    owner: int = 0  # ephemeralOwner: the session of an ephemeral node, 0 for others
+    length: int = 0  # dataLength
+    children: int = 0  # numChildren
     pzxid: int = 0
 
     def write(self, writer: Writer) -> None:
@@ -95,17 +100,17 @@
         return cls(*(reader.i64() if place in _LONGS else reader.i32() for place in range(len(cls._fields))))
 
 
-_LONGS = frozenset((0, 1, 2, 3, 7, 10))
+_LONGS = frozenset((0, 1, 2, 3, 7, 10))  # the fields of Stat with 64 bits
 
 
 class ConnectRequest(NamedTuple):
-    """A client's first record."""
+    """The first record that a client sends."""
 
-    zxid: int  # the newest that it has seen
+    zxid: int  # the latest that the client has seen
     timeout: int  # milliseconds
-    session: int  # 0: a new one
+    session: int  # 0: request a new session
     password: bytes
-    read_only: bool = False  # a coordinator without its leader will do
+    read_only: bool = False  # accept a server that has lost its leader
 
     def write(self) -> bytes:
         record = Writer().i32(0).i64(self.zxid).i32(self.timeout).i64(self.session).buffer(self.password)
@@ -116,11 +121,11 @@
         reader = Reader(data)
         reader.i32()
         values = reader.i64(), reader.i32(), reader.i64(), reader.buffer() or b""
-        return cls(*values, reader.boolean() if reader.remaining else False)  # clients before 3.4 do not say
+        return cls(*values, reader.boolean() if reader.remaining else False)  # not sent before 3.4
 
 
 class ConnectResponse(NamedTuple):
-    """A coordinator's first record; a time-out of 0 says that the session is gone."""
+    """The first record that a server sends; a timeout of 0 means that the session has expired."""
 
     timeout: int
     session: int
@@ -140,7 +145,7 @@
 
 
 class ReplyHeader(NamedTuple):
-    """The head of all that a coordinator sends after its first record."""
+    """The header of all records that a server sends after its first one."""
 
     xid: int
     zxid: int
@@ -155,7 +160,7 @@
 
 
 class WatcherEvent(NamedTuple):
-    """A watch that fired."""
+    """The event of a watch that fired."""
 
     kind: int
     path: str
--- a/whinrouter/net/__init__.py
+++ b/whinrouter/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: real sockets round the decision module."""
+"""The gateway's network side: sockets, HTTP and the driver of the decision module."""
--- a/whinrouter/net/accept.py
+++ b/whinrouter/net/accept.py
@@ -1,17 +1,17 @@
 """The accept loop of one listening socket.
 
-Theory of operation. accept() fails for two kinds of reason (accept(2)). One is about the connection that was
-to be accepted: it was reset while it waited, or a network error is already pending on it. The next one may
-be taken at once. The other is a want of descriptors or memory, here or in the whole system: the connection
-stays in the queue and the socket stays readable, so that asking again at once would spin. Then the loop
-pauses for `FIRST_PAUSE`, doubled with each failure in a row up to `LONGEST_PAUSE`, which is short beside the
-shortest deadlines of clients.
-
-    ACCEPTING --a want of resources--> PAUSED --the pause is over--> ACCEPTING
-    either    --stop-----------------> STOPPED, for good: neither a reader nor a timer is left
-
-asyncio's own server waits for a second after each such failure, and its timer gives a listener that was
-closed meanwhile its reader back.
+accept() fails for two kinds of reason (accept(2)). The first concerns the connection that was about to be
+accepted: it was reset while it waited, or a network error is pending on it. The next connection can be
+accepted at once. The second is a lack of descriptors or memory, in this process or in the whole system: the
+connection stays in the backlog and the socket stays readable, so an immediate retry would spin. The loop
+then backs off for `INITIAL_BACKOFF_SECONDS`, doubled with each consecutive failure up to
+`MAX_BACKOFF_SECONDS`, which is short compared with the shortest client deadlines.
+
+    ACCEPTING --out of resources--> BACKING OFF --timer--> ACCEPTING
+    either    --stop--> STOPPED: final; neither a reader nor a timer is left
+
+asyncio's own server waits for a second after each such failure, and its timer registers the reader again
+even if the listener was closed in the meantime.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 
 log = logging.getLogger(__name__)
 
-INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.001, 0.05  # seconds
-# What says something of one connection alone: a reset, or a network error that accept(2) tells to pass over.
+INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.001, 0.05
+# Errors that concern a single connection: a reset, or a network error that accept(2) says to retry.
 CONNECTION_ERRNOS = frozenset(
     {
         errno.ECONNABORTED,
@@ -39,13 +39,13 @@
         errno.EHOSTUNREACH,
         errno.EOPNOTSUPP,
         errno.ENETUNREACH,
-        errno.EPERM,  # a rule of the machine's firewall
+        errno.EPERM,  # rejected by a local firewall rule
     }
 )
 
 
 class Acceptor:
-    """Gives each connection of a listening socket a protocol of its own, until it is stopped."""
+    """Accepts the connections of a listening socket, each with a new protocol, until it is stopped."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         protocol_factory: Callable[[], asyncio.BaseProtocol],
         max_accepts_per_turn: int,
     ) -> None:
-        """`at_once`: connections that are accepted in one turn of the loop at most."""
+        """Start to accept. `max_accepts_per_turn`: the limit for one turn of the event loop."""
         self._listener = listener
         self._protocol_factory = protocol_factory
         self._max_accepts_per_turn = max_accepts_per_turn
@@ -64,10 +64,11 @@
         self._loop.add_reader(listener, self._accept)
 
     def stop(self) -> None:
-        """Accept no more; what was accepted goes on, and the socket stays open."""
+        """Stop accepting; accepted connections continue, and the listening socket stays open."""
         self._suspend()
 
     def _suspend(self) -> None:
+        """Remove the reader and the timer."""
         if self._resume_timer is not None:
             self._resume_timer.cancel()
             self._resume_timer = None
@@ -79,14 +80,15 @@
         self._loop.add_reader(self._listener, self._accept)
 
     def _accept(self) -> None:
+        """Accept the waiting connections, up to the limit for one turn."""
         for _ in range(self._max_accepts_per_turn):
             try:
                 connection, _ = self._listener.accept()
-            except (BlockingIOError, InterruptedError):  # none waits, or another process was faster
+            except (BlockingIOError, InterruptedError):  # the backlog is empty, or another process accepted
                 return
             except OSError as error:
                 if error.errno in CONNECTION_ERRNOS:
-                    log.info("accept: %s; taking the next one", error.strerror)
+                    log.info("accept: %s; accepting the next connection", error.strerror)
                     continue
                 self._back_off(error)
                 return
@@ -94,6 +96,7 @@
             self._attach_transport(connection)
 
     def _back_off(self, error: OSError) -> None:
+        """Pause after a lack of resources."""
         log.warning("accept: %s; trying again after a pause", error.strerror)
         self._suspend()
         self._resume_timer = self._loop.call_later(self._backoff_seconds, self._resume)
@@ -103,5 +106,5 @@
         try:
             SocketTransport(connection, self._protocol_factory())
         except OSError as error:
-            log.warning("a connection that was accepted could not be set up: %s", error.strerror)
+            log.warning("cannot set up an accepted connection: %s", error.strerror)
             connection.close()
--- a/whinrouter/net/application.py
+++ b/whinrouter/net/application.py
@@ -1,7 +1,9 @@
-"""Whether the application beside us is alive.
+"""Monitors whether the application beside the gateway is running.
 
-Its process is held by a descriptor (`pidfd_open(2)`), which tells of its end at once and cannot come to mean
-another process; the number in its file is only the way to it.
+Its process is held by a descriptor (`pidfd_open(2)`), which reports the end of the process at once and never
+refers to another process. The process id in the pid file is used only to open it.
+
+    waiting --the pid file names a running process--> running --the process ends--> waiting
 """
 
 from __future__ import annotations
@@ -14,24 +16,26 @@
 
 log = logging.getLogger(__name__)
 
-POLL_SECONDS = 0.2  # seconds between looks for an application that is gone
-MAX_PID_FILE_BYTES = 32  # bytes that are read of its file
+POLL_SECONDS = 0.2  # interval of the search for an application that is not running
+MAX_PID_FILE_BYTES = 32  # a process id and a line end are shorter
 
 
 class ApplicationMonitor:
-    """Calls `back` when the application is alive and `gone` when it is not; each only at a change."""
+    """Calls `on_running` when the application is found and `on_exited` when it ends, once for each change."""
 
     def __init__(self, pid_file: str, on_exited: Callable[[], None], on_running: Callable[[], None]) -> None:
         self._pid_file = pid_file
         self._on_exited, self._on_running = on_exited, on_running
         self._loop = asyncio.get_running_loop()
-        self._pidfd = -1  # its descriptor
+        self._pidfd = -1  # the descriptor of the process; -1: none
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Look for the application, and keep looking while it is not running."""
         self._poll()
 
     def stop(self) -> None:
+        """Stop monitoring; no callback is called after this."""
         if self._timer is not None:
             self._timer.cancel()
         self._close_pidfd()
@@ -44,12 +48,12 @@
             return
         self._pidfd = pidfd
         self._loop.add_reader(pidfd, self._on_process_ended)
-        log.info("the application is here")
+        log.info("the application is running")
         self._on_running()
 
     def _on_process_ended(self) -> None:
         self._close_pidfd()
-        log.warning("the application is gone")
+        log.warning("the application has exited")
         self._on_exited()
         self._timer = self._loop.call_later(POLL_SECONDS, self._poll)
 
@@ -61,7 +65,7 @@
 
 
 def _open_pidfd(pid_file: str) -> int | None:
-    """A descriptor of the process that a file names; None if there is none."""
+    """A descriptor of the process that the file names; None if there is no such process."""
     try:
         with open(pid_file, "rb") as file:
             pid = int(file.read(MAX_PID_FILE_BYTES))
@@ -69,7 +73,8 @@
         pidfd = os.pidfd_open(pid)
     except (OSError, ValueError, OverflowError):
         return None
-    # It names itself once it runs: who began after the file was written only has the number of one who died.
+    # An application writes the file while it runs: a process that started after the file was written has only
+    # been given the id of one that has ended.
     if _has_ended(pid) or _started_at(pid) > written_at + 1.0:
         os.close(pidfd)
         return None
@@ -77,7 +82,7 @@
 
 
 def _stat_fields(pid: int) -> list[str]:
-    """What the system tells of a process, from its state on (proc(5), /proc/pid/stat)."""
+    """The fields of /proc/PID/stat (proc(5)) from the process state on; empty if there is no such process."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     except (OSError, IndexError):
@@ -85,12 +90,12 @@
 
 
 def _has_ended(pid: int) -> bool:
-    """Whether it has ended and only waits to be asked for."""
+    """Whether the process has ended, even if its parent has not waited for it yet."""
     return _stat_fields(pid)[:1] in ([], ["Z"], ["X"])
 
 
 def _started_at(pid: int) -> float:
-    """Unix time at which it began."""
+    """The Unix time at which the process started."""
     fields = _stat_fields(pid)
     boot_time = next(line for line in Path("/proc/stat").read_text().splitlines() if line.startswith("btime"))
     return int(boot_time.split()[1]) + int(fields[19]) / os.sysconf("SC_CLK_TCK") if fields else 0.0
--- a/whinrouter/net/attempt.py
+++ b/whinrouter/net/attempt.py
@@ -1,4 +1,11 @@
-"""One sending of a request to a host, as the driver has it, and what it asks of whoever carries it out."""
+"""One attempt to send a request to a host, and the interfaces between attempts, senders and connections.
+
+The driver (`gateway.py`) asks an `AttemptSender` for attempts; the sender (`upstream.py`) carries them out
+over connections to hosts. Each attempt ends exactly once, by `Attempt.end` or `Attempt.stop`:
+
+    created --may_begin agrees, first byte sent--> begun --answer whose body is streamed--> streaming
+    any of these --end or stop--> over
+"""
 
 from __future__ import annotations
 
@@ -18,35 +25,35 @@
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt goes over."""
+    """The connection that carries an attempt."""
 
-    is_fully_written: bool  # the host may have the last byte
+    is_fully_written: bool  # the last byte has left, so the host may have the whole request
 
     def is_quiet(self) -> bool:
-        """Whether nothing has come since the last answer."""
+        """Whether nothing has arrived since the last answer."""
 
     def drop(self) -> None:
-        """Close it now."""
+        """Close the connection now."""
 
     def resume(self, attempt: Attempt, body: Flow) -> None:
-        """Go on with an attempt of another process, whose body still comes."""
+        """Continue an attempt of another process, whose request body is still arriving."""
 
     def release(self) -> None:
-        """Another process goes on with it: close it without a word."""
+        """Close the connection here without sending anything: another process has taken it over."""
 
 
 class TargetHost(Protocol):
     """The host that an attempt goes to."""
 
     member: Member
-    connecting: set[Attempt]
+    connecting: set[Attempt]  # attempts that wait for a connection to the host
 
 
 class AttemptSender(Protocol):
-    """Whoever sends attempts to hosts, and tells of each how it ended."""
+    """Sends attempts to hosts, and reports how each of them ended."""
 
     def update(self, members: Iterable[Member], complete: bool) -> None:
-        """Follow the list; a host that drains or left gets nothing more, from this moment on."""
+        """Apply a list of hosts. A host that drains or is gone is sent nothing more from this moment on."""
 
     def send(
         self,
@@ -59,17 +66,18 @@
         on_streaming: StreamingCallback | None = None,
         may_begin: MayBeginCheck | None = None,
     ) -> Attempt | None:
-        """Start an attempt; None if the host may not be sent to. It may end before this returns.
+        """Start an attempt; None if the host may not be sent to. The attempt may end before this returns.
 
-        `may_begin`: asked before its first byte leaves, with whether the host may be sent to and whether it
-        had to wait for its connection: what it ends with instead of beginning; None: it begins.
-        `began` is called with an answer that is served and whose body is passed on as it comes; with None,
-        such an answer is of no use. The attempt ends with its body.
+        `may_begin` is called right before the first byte leaves, with the attempt, whether its host may be
+        sent to, and whether the attempt had to wait for its connection. It returns the outcome with which the
+        attempt ends instead of beginning, or None if the attempt may begin.
+        `on_streaming` is called with a successful answer whose body is streamed; without it such an answer is
+        of no use. A streaming attempt ends when the body does.
         """
 
 
 class Attempt:
-    """One sending of a request to a host; it ends exactly once."""
+    """One attempt to send a request to a host; it ends exactly once."""
 
     __slots__ = (
         "_on_ended",
@@ -103,42 +111,46 @@
     ) -> None:
         self.on_streaming = on_streaming
         self.may_begin = may_begin
-        self.has_begun = False  # its first byte was let out
-        self.is_streaming = False  # its answer goes to the client as it comes
+        self.has_begun = False  # its first byte was allowed to leave
+        self.is_streaming = False  # its answer is passed to the client as it arrives
         self.host = host
         self.message = message
         self.expires_at = expires_at  # loop time
-        self.owner = owner  # whoever sends may keep here what it sends for, and the number of the attempt
-        self.number = number
+        self.owner = owner  # the sender's own data: the request that the attempt belongs to
+        self.number = number  # the attempt's number within its request
         self.started_at = now  # loop time
         self._on_ended: EndedCallback | None = on_ended
         self.connection: AttemptConnection | None = None
-        self.task: asyncio.Task[Any] | None = None
-        self.unread_seconds = 0.0  # seconds for which its answer lay here unread
-        self.timer: Timer | None = None  # of whoever sends: needless once this has ended
+        self.task: asyncio.Task[Any] | None = None  # opens the connection
+        self.unread_seconds = 0.0  # how long the answer had waited unread in this process
+        self.timer: Timer | None = None  # set by the caller of `send`; cancelled when the attempt ends
 
     @property
     def is_over(self) -> bool:
+        """Whether the attempt has ended."""
         return self._on_ended is None
 
     @property
     def is_fully_written(self) -> bool:
-        """Whether the host may have the last byte."""
+        """Whether the host may have the whole request."""
         return self.connection is not None and self.connection.is_fully_written
 
     @property
     def has_unread(self) -> bool:
-        """Whether something of its answer, or its connection's end, is here and was not read yet."""
+        """Whether a part of the answer, or the end of the connection, has arrived but was not read yet."""
         return self.connection is not None and not self.connection.is_quiet()
 
     def encode(self, now: float) -> bytes:
+        """The request as it is sent to the host, with the time that is left for it."""
         left = max(0.0, self.expires_at - now)
-        # How long its client waits begins with the end of its body, which is still to come.
+        # The client's time begins only at the end of its body, so a request whose body is still arriving gets
+        # all of it.
         return serialize_request(
             self.message, left if self.message.body_flow is None else self.message.client_timeout_seconds
         )
 
     def end(self, outcome: Outcome, answer: Message | None = None) -> None:
+        """Report the outcome, once; later calls have no effect."""
         on_ended, self._on_ended = self._on_ended, None
         if on_ended is not None:
             if self.timer is not None:
@@ -146,7 +158,7 @@
             on_ended(self, outcome, answer)
 
     def stop(self, outcome: Outcome) -> None:
-        """Give it up: it has this outcome, and the host sees its connection close."""
+        """Give the attempt up: end it with this outcome and close its connection, which tells the host."""
         if self._on_ended is None:
             return
         self.host.connecting.discard(self)
--- a/whinrouter/net/config.py
+++ b/whinrouter/net/config.py
@@ -1,4 +1,4 @@
-"""Environment and JSON to settings."""
+"""The platform's configuration: environment variables and a JSON file, converted to settings."""
 
 from __future__ import annotations
 
@@ -20,44 +20,48 @@
 
 Address = tuple[str, int]
 
+# These are fixed for the life of the process, so their variables override the file at a reload, too.
 _FIXED = {
     "name": "PROXY_NAME",
     "listen": "PROXY_LISTEN",
     "control": "PROXY_CONTROL",
-}  # for the life of the process
+}
 
 
 class ConfigError(Exception):
-    """The gateway cannot start with what it was told."""
+    """The configuration is missing or invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """One version of the configuration; times are in seconds."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
     known: HostList
     settings: Settings
-    connect_time: float  # seconds after which a connection that is not made has failed
-    idle_time: float  # seconds after which a host closes an idle connection at the latest
-    sockets: int  # descriptors that the process may hold
-    retry_policy: RetryPolicy  # with discovery
-    control: Address | None = None  # where operators call
-    listener: int | None = None  # the descriptor of a listening socket that is there already
-    raw: Mapping[str, Any] = field(default_factory=dict)  # all of it, as it was read
+    connect_time: float  # time limit for opening a connection to a host
+    idle_time: float  # idle timeout of the hosts
+    sockets: int  # descriptors that the process may use
+    retry_policy: RetryPolicy  # for the watch on discovery
+    control: Address | None = None  # where operators' calls are accepted
+    listener: int | None = None  # the descriptor of a listening socket that the process inherited
+    raw: Mapping[str, Any] = field(default_factory=dict)  # the whole configuration as it was read
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """What to start with."""
-    # The environment comes first: an operator may set a variable for one start.
+    """The configuration of a start; ConfigError if it is invalid."""
+    # The environment overrides the file: an operator may set a variable for one start.
     return _load(environment, {**_FIXED, "discovery": "PROXY_DISCOVERY"})
 
 
 def reload(environment: Mapping[str, str], in_force: Config) -> Config:
-    """What to go on with: the variables are as old as the start, so the file's word on discovery is newer.
+    """The configuration to continue with after a change of the file.
 
-    ConfigError, with all that is wrong, if it lacks anything that what is in force has.
+    The environment is as old as the start, so the file's address of discovery is newer and counts.
+    Raises ConfigError with all findings if the file lacks anything that the configuration in force has.
     """
     return _load(environment, _FIXED, in_force)
 
@@ -108,17 +112,17 @@
 
 
 def _retry_policy(settings: Settings, rules: Mapping[str, Any]) -> RetryPolicy:
-    """With the service that lists hosts: an agent of this machine's own, or one for all gateways."""
+    """The policy for the discovery service: an agent on this machine, or one service for all gateways."""
     if not settings.must_subscribe:
         return LOCAL_AGENT_POLICY
     return shared_service_policy(settings.balancers, int(rules.get("askEvery") or 10 * SECOND) / SECOND)
 
 
-FIRST_ACTIVATION_DESCRIPTOR = 3  # the first descriptor of socket activation (sd_listen_fds)
+FIRST_ACTIVATION_DESCRIPTOR = 3  # SD_LISTEN_FDS_START of socket activation (sd_listen_fds(3))
 
 
 def inherited_descriptor(environment: Mapping[str, str]) -> int | None:
-    """The descriptor of a listening socket that came with the process; None if none did."""
+    """The descriptor of a listening socket that the process inherited; None if there is none."""
     if environment.get("PROXY_SOCKET_FD"):
         return int(environment["PROXY_SOCKET_FD"])
     is_for_us = environment.get("LISTEN_PID") == str(os.getpid())
@@ -126,6 +130,7 @@
 
 
 def parse_address(text: str) -> Address:
+    """Split host:port, with an IPv6 address in brackets; ValueError if the text has another form."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is no address of the form host:port")
--- a/whinrouter/net/connect.py
+++ b/whinrouter/net/connect.py
@@ -1,4 +1,7 @@
-"""Connections made and taken: the coroutines, which are few and stay out of what is compiled."""
+"""Opening connections, and listening for them, with retries where this machine lacks a resource for a moment.
+
+The coroutines are few and are kept out of the modules that are compiled.
+"""
 
 from __future__ import annotations
 
@@ -18,15 +21,15 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 512  # connections that wait in the system for their turn
-ACCEPT_BATCH = 4  # each takes a descriptor before anyone can count it
-EMPTY_ACCEPT_TURNS = 3  # of the loop in which nothing waits to be accepted before the queue counts as empty
-ACCEPT_PENDING_SECONDS = 0.5  # seconds for taking what waits to be accepted when the listener closes
+BACKLOG = 512  # connections that the kernel queues until they are accepted
+ACCEPT_BATCH = 4  # connections accepted at once: each takes a descriptor before the limit can be checked
+EMPTY_ACCEPT_TURNS = 3  # turns of the event loop without a queued connection after which the queue is empty
+ACCEPT_PENDING_SECONDS = 0.5  # time limit for accepting the queued connections when the listener closes
 
-# Errors that tell of a want of descriptors or memory on this machine, which may be over soon.
+# Errors caused by a lack of descriptors or memory on this machine, which may be over soon.
 RESOURCE_ERRORS = frozenset({errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-# Errors of connect() that arise on this machine, before anything has left it. ENETUNREACH is the routing
-# table's word; a peer that can't be reached is EHOSTUNREACH or ETIMEDOUT.
+# Errors of connect() that arise on this machine before anything was sent. ENETUNREACH comes from the local
+# routing table; a peer that can't be reached causes EHOSTUNREACH or ETIMEDOUT.
 LOCAL_ERRORS = RESOURCE_ERRORS | {
     errno.EADDRINUSE,
     errno.EADDRNOTAVAIL,
@@ -34,7 +37,8 @@
     errno.ENETUNREACH,
     errno.EPERM,
 }
-# Seconds before each further try: to connect, within a request's time, and to listen, within that of a start.
+# Seconds before each retry. Retries of connect() have to fit into a request's time, those of listen() into
+# the time that a start may take.
 CONNECT_RETRY_SECONDS = (0.001, 0.002, 0.004)
 LISTEN_RETRY_SECONDS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4)
 
@@ -43,19 +47,19 @@
 
 
 class ConnectResult(Enum):
-    """What came of an attempt to connect."""
+    """The result of an attempt to connect."""
 
     UP = "up"
-    FAILED = "failed"  # refused, reset or not up in time, be it the peer or the way to it
-    LOCAL_FAILURE = "local failure"  # this machine lacked something: it tells nothing of the peer
+    FAILED = "failed"  # refused, reset or timed out: the peer or the network failed
+    LOCAL_FAILURE = "local failure"  # this machine lacked a resource, which says nothing about the peer
 
 
 async def with_retries(
     work: Callable[[], Awaitable[R]], pauses: Sequence[float], errors: Collection[int] = RESOURCE_ERRORS
 ) -> R:
-    """What `work` returns; if it fails with one of these errors it is called again after each pause.
+    """Return what `work` returns; when it fails with one of `errors`, call it again after each pause.
 
-    OSError as the last call had it, or at once any other.
+    Raises the OSError of the last call, or at once any other exception.
     """
     for pause in pauses:
         try:
@@ -69,9 +73,9 @@
 
 
 async def open_connection(protocol: Callable[[], P], address: tuple[str, int]) -> P:
-    """Connect; a failure of this machine alone is tried again a few times, milliseconds apart.
+    """Connect; a failure on this machine is retried a few times, milliseconds apart.
 
-    OSError as the last try had it. There is no limit of time: the caller sets one.
+    Raises the OSError of the last try. There is no time limit: the caller sets one.
     """
 
     async def try_once() -> P:
@@ -88,9 +92,9 @@
 
 
 async def _connected_socket(address: tuple[str, int]) -> socket.socket:
-    """A socket that is connected to this address, or to the first of a name's that takes the connection."""
+    """Connect to the address, or to the first address of a host name that accepts the connection."""
     loop = asyncio.get_running_loop()
-    failure = OSError(errno.EADDRNOTAVAIL, "the name has no address")
+    failure = OSError(errno.EADDRNOTAVAIL, "the host name has no address")
     for family, target in await _resolve(address):
         endpoint = socket.socket(family, socket.SOCK_STREAM)
         try:
@@ -107,7 +111,7 @@
 
 
 async def _resolve(address: tuple[str, int]) -> list[tuple[socket.AddressFamily, Any]]:
-    """The addresses that this one stands for: itself unless it is a name."""
+    """The addresses of a host name; an IP address is returned as it is."""
     host, port = address
     for family in (socket.AF_INET, socket.AF_INET6):
         with contextlib.suppress(OSError):
@@ -120,7 +124,7 @@
 async def connect(
     protocol: Callable[[], P], address: tuple[str, int], seconds: float, on_connected: Callable[[P], None]
 ) -> ConnectResult:
-    """Connect within so many seconds and call `up`; if it comes to nothing, say why."""
+    """Connect within `seconds` and call `on_connected`; the result says whether it worked."""
     try:
         async with asyncio.timeout(seconds):
             connection = await open_connection(protocol, address)
@@ -133,7 +137,7 @@
 
 
 class Listener:
-    """A listening socket whose connections each get a protocol of their own."""
+    """A listening socket; each connection that it accepts gets a new protocol."""
 
     def __init__(self, protocol: Callable[[], asyncio.BaseProtocol]) -> None:
         self._protocol = protocol
@@ -143,15 +147,14 @@
 
     @property
     def descriptor(self) -> int | None:
-        """The listening socket's; None while it is not open."""
+        """The file descriptor of the listening socket; None while it is not open."""
         return self._socket.fileno() if self._socket is not None else None
 
     def bind(self, host: str, port: int, inherited: int | None = None) -> None:
-        """Take the address; port 0 leaves it to the system. OSError if it is taken.
+        """Take the address; the system chooses the port if `port` is 0. OSError if the address is taken.
 
-        A host with a slash is the path of a Unix socket, whose permissions are the process's umask.
-        `inherited` is the descriptor of a socket that listens already, and that whoever started the process
-        holds too.
+        A host with a slash is the path of a Unix socket, whose permissions follow the process's umask.
+        `inherited`: the descriptor of a socket that listens already, and that the parent process holds too.
         """
         self.is_shared = inherited is not None
         if inherited is not None:
@@ -166,7 +169,7 @@
         self._socket = socket.create_server((host, port), family=family, backlog=BACKLOG)
 
     async def serve(self) -> int:
-        """Take connections at the address that is bound; return its port."""
+        """Accept connections at the bound address; return the port, 0 for a Unix socket."""
         listener = self._socket
         assert listener is not None
         self._acceptor = Acceptor(listener, self._protocol, ACCEPT_BATCH)
@@ -174,9 +177,9 @@
         return int(listener.getsockname()[1]) if listener.family != socket.AF_UNIX else 0
 
     async def accept_pending(self) -> None:
-        """Take what waits to be accepted: closing the listener would reset it, with the requests on it.
+        """Accept the queued connections: closing the listener would reset them, with the requests on them.
 
-        What waits at a shared one is the others'.
+        The queue of a shared socket is left to the other processes.
         """
         empty_turns, acceptor = 0, self._acceptor
         if self.is_shared and acceptor is not None:
@@ -187,10 +190,10 @@
                     empty_turns = 0 if is_readable(self._socket) else empty_turns + 1
                     await asyncio.sleep(0)
         except TimeoutError:
-            log.warning("connections still came faster than they were accepted")
+            log.warning("connections still arrived faster than they were accepted")
 
     def close(self) -> None:
-        """Take no new connection."""
+        """Accept no more connections."""
         listener, self._socket = self._socket, None
         acceptor, self._acceptor = self._acceptor, None
         if acceptor is not None:
@@ -200,11 +203,11 @@
 
 
 def _unix_socket(path: str) -> socket.socket:
-    """Listen on a path; what a process that has died left there is taken away, what anyone serves is not."""
+    """Listen on a path. The socket file of a dead process is removed; one that is served raises OSError."""
     try:
         with socket.socket(socket.AF_UNIX) as probe:
             probe.connect(path)
-        raise OSError(errno.EADDRINUSE, "someone listens there")
+        raise OSError(errno.EADDRINUSE, "another process listens there")
     except ConnectionRefusedError:
         os.unlink(path)
     except FileNotFoundError:
--- a/whinrouter/net/connection_state.py
+++ b/whinrouter/net/connection_state.py
@@ -1,13 +1,14 @@
-"""What a client's connection is in the middle of, as far as another process has to go on with it. No I/O.
+"""States of a client connection, as a handover to another process needs them. No I/O.
 
-    IDLE --first byte--> RECEIVING --whole--> WAITING --answer--> IDLE
-    RECEIVING --head of a body that is passed on--> UPLOADING --last byte--> WAITING
-    WAITING --head of an answer that is passed on--> ANSWERING --its end--> IDLE
-    any --the connection is to close, its last bytes have not gone out--> FLUSHING --> ENDING
+    IDLE --first byte--> RECEIVING --request complete--> WAITING --answer--> IDLE
+    RECEIVING --head of a request whose body is streamed--> UPLOADING --last byte--> WAITING
+    WAITING --head of an answer whose body is streamed--> ANSWERING --end of the answer--> IDLE
+    any --the connection is to close, with output unsent--> FLUSHING --> ENDING
 
-What goes to the next process: of IDLE and RECEIVING the client's socket, and what was read and not used; of
-UPLOADING and ANSWERING both sockets, the framing that is left, and what was read and not written on. A
-WAITING one stays, as its request has its answer within its own time, before the process may be killed.
+A handover passes on, for IDLE and RECEIVING, the client's socket and the input that was read and not used;
+for UPLOADING and ANSWERING, both sockets, the remainder's framing, and the bytes that were read and not yet
+written. A WAITING connection stays with its process: its request is answered within its deadline, which ends
+before the process may be killed.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class ConnectionState(Enum):
-    """How far a connection and its request are."""
+    """The state of a client connection and its current request."""
 
     IDLE = "idle"
     RECEIVING = "receiving"
--- a/whinrouter/net/discovery.py
+++ b/whinrouter/net/discovery.py
@@ -1,4 +1,9 @@
-"""The watch on discovery, and its lists in the module's words."""
+"""The watch on the discovery service, and its lists as the gateway uses them.
+
+Theory of operation. `Discovery` makes a call with the revision of the last list that arrived, and the service
+sends each newer list over that connection (`_WatchConnection`). When the watch ends for any reason, the call
+is made again after a pause (`RetryPolicy`); the last list stays in force meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +24,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LIST_BYTES = 4 * 1024 * 1024  # bytes of one list that has not come whole
+MAX_LIST_BYTES = 4 * 1024 * 1024  # size limit of one list
 
 _STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 
 
 def parse_list(document: Mapping[str, Any]) -> HostList:
-    """Read a list in discovery's form; ValueError, TypeError or KeyError if it is none."""
+    """Convert a list in discovery's form; ValueError, TypeError or KeyError if it is malformed."""
     if not isinstance(document, dict):
         raise ValueError("a list of hosts is no object")
     members = tuple(_member(entry) for entry in document["members"])
@@ -47,10 +52,10 @@
 
 
 class _WatchConnection(asyncio.Protocol):
-    """One connection to discovery: hands on each list as it comes, and knows when it has gone silent.
+    """One connection to discovery: passes on each list that arrives, and detects silence.
 
-    Up to the first whole list, or the first empty line, it has `first` seconds in all, and from then on
-    `silence` from byte to byte.
+    It has `first_line_timeout` seconds in all to bring a whole list or an empty line, and may be silent for
+    `silence_timeout` seconds at a time after that.
     """
 
     def __init__(
@@ -69,9 +74,9 @@
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._first_line_timeout, self._silence_timeout = first_line_timeout, silence_timeout
-        self.has_response = False  # an answer that is none of a refusal has begun: its turn has come
-        self._has_line = False  # a whole list has come, or an empty line
-        self.ended: asyncio.Future[str] = self._loop.create_future()
+        self.has_response = False  # a successful response has begun: the service's queue is behind the call
+        self._has_line = False  # a whole list or an empty line has arrived
+        self.ended: asyncio.Future[str] = self._loop.create_future()  # the reason why the watch ended
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -102,12 +107,13 @@
                 self._on_document(document)
 
     def on_message_complete(self) -> None:
-        self.end("the watch ended")
+        self.end("the service ended the watch")
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.end(f"the connection ended ({exc or 'closed'})")
 
     def end(self, reason: str) -> None:
+        """Close the connection; the first reason is kept."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -116,14 +122,14 @@
             self.ended.set_result(reason)
 
     def _set_timer(self, seconds: float) -> None:
-        """A machine that is cut off says nothing, and TCP doesn't notice: silence is the only sign."""
+        """Limit the silence: it is the only sign of a service that is cut off, as TCP does not notice."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_later(seconds, self.end, "the watch is silent")
 
 
 class Discovery:
-    """Keeps a watch going, from the last version that came; the old list stays in force meanwhile."""
+    """Keeps a watch on the discovery service and passes on each list that arrives."""
 
     def __init__(
         self,
@@ -133,39 +139,44 @@
         retry_policy: RetryPolicy,
         known: bool = False,
     ) -> None:
-        """`known`: there is a list of old, so that the first call may wait for its turn."""
+        """`revision`: that of the list in force. `known`: that list has hosts, so the first call may be
+        delayed.
+
+        `on_list` is called with each list; an exception that it raises ends the watch, which is then retried.
+        """
         self._address = address
         self._revision = revision
         self._on_list = on_list
-        self.retry_policy = retry_policy  # of what follows: a watch that stands keeps the times it began with
+        self.retry_policy = retry_policy  # applies from the next call on: a running watch keeps its timeouts
         self._random = Random()
         self._has_list = known  # the latest watch has brought a list
-        self._failures = 0  # tries in a row that brought none
+        self._failures = 0  # calls in a row that brought no list
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin, unless a move that came before the start has begun it."""
+        """Start watching; no effect if a `move` before the start has started it."""
         if self._task is not None:
             return
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     @property
     def source(self) -> str:
-        """Whose revision the lists have."""
+        """The service that assigns the revisions of the lists, as host:port."""
         return f"{self._address[0]}:{self._address[1]}"
 
     def resume(self, source: str, revision: int) -> None:
-        """Go on from a list that came otherwise, if it is the same service's."""
+        """Continue from a list that was handed over, if it is from the same service."""
         if source == self.source:
             self._revision = revision
 
     def stop(self) -> None:
+        """Stop watching; no list is passed on after this call."""
         if self._task is not None:
-            self._task.cancel()  # and with it `over` of the watch, which takes nothing more from this call on
+            self._task.cancel()  # also cancels the connection's `ended`, which makes it ignore what arrives
             self._task = None
 
     def move(self, address: tuple[str, int]) -> None:
-        """Watch another service, from its whole list on: a revision means nothing to any other service."""
+        """Watch another service, beginning with its whole list: a revision is valid for one service only."""
         self.stop()
         self._address, self._revision, self._failures = address, 0, 0
         self._has_list = True
@@ -179,18 +190,19 @@
             try:
                 reason, is_queue_full, is_broken_off = await self._watch()
                 log.info("discovery: %s; asking again", reason)
-            except Exception:  # without a watch, hosts that drain would go unnoticed for good
+            except Exception:  # without a watch, draining hosts would never be noticed again
                 log.exception("discovery: failed; asking again")
             self._failures = 0 if self._has_list else self._failures + 1
-            # Jittered, so that gateways which lost discovery together do not all come back at once.
+            # The backoff has jitter, so that gateways that lost discovery together do not all return at once.
             await asyncio.sleep(
                 self.retry_policy.backoff(self._failures, is_queue_full, self._random, is_broken_off)
             )
 
     async def _watch(self) -> tuple[str, bool, bool]:
-        """Follow one watch to its end; return why, and what came of its call if it brought no list.
+        """Follow one watch to its end.
 
-        That is whether it stood in a line to no end, and whether its answer had begun.
+        Returns the reason for the end and, for a call that brought no list, whether it waited in the
+        service's queue without success, and whether its response had begun.
         """
         host, port = self._address
         path = f"/discovery/hosts?watch=1&from={self._revision}"
@@ -214,7 +226,8 @@
         return reason, loop.time() - asked_at > QUEUED_SECONDS, False
 
     def _on_document(self, document: bytes) -> None:
-        # Raises on a bad list, which ends the watch: what it held would be missing from the list for good.
+        # Raises on a malformed list, which ends the watch: the changes in it would be lost for good
+        # otherwise.
         host_list = parse_list(orjson.loads(document))
         self._on_list(host_list)
         self._revision = host_list.revision
--- a/whinrouter/net/frontend.py
+++ b/whinrouter/net/frontend.py
@@ -1,4 +1,17 @@
-"""Client connections: requests in, one answer each, and `/up`."""
+"""Client connections: reads requests, sends one answer to each, and answers `/up`.
+
+`Frontend` owns the listener and its connections, limits their number and the bytes that are buffered for
+them, and times out inactive ones in a periodic sweep. `ClientConnection` handles the requests of one
+connection one after the other; its states, as a handover sees them, are in `connection_state.py`:
+
+    inactive --request complete, or head of a streamed body--> busy --final answer--> inactive
+    busy --answer before the end of the request body--> lingering: the rest of the body is read and discarded
+    inactive or lingering --deadline, eviction, error--> closed
+
+A connection is in `Frontend.inactive_connections` while no request is in progress on it, and in
+`Frontend.streaming_connections` while a body is streamed in either direction. A request is in progress once
+it was submitted to the gateway. Before a connection is closed, the guards record why (`_record_close`).
+"""
 
 from __future__ import annotations
 
@@ -52,42 +65,41 @@
 log = logging.getLogger(__name__)
 
 MAX_PIPELINED_REQUESTS = 4  # requests that a client may send ahead on one connection; most send none
-MAX_BUFFERED_BYTES = (
-    4 * 1024 * 1024
-)  # bytes of requests that wait or have not come whole, of all clients together
-# Seconds within which a head must be whole, from its connection's start or its own: slow clients take
-# two. Those who open connections and send nothing, or begin and never end, are gone before they have waited
-# for three. From its head on a body has the time that its bytes earn (`flow.py`).
+MAX_BUFFERED_BYTES = 4 * 1024 * 1024  # of all clients' requests that wait or are incomplete
+# The time for a request head, counted from the start of the connection or of the head: slow clients take 2 s.
+# Clients that open connections and send nothing, or never complete a request, are closed within 3 s. Behind
+# its head a body has the time that its bytes earn (`flow.py`).
 RECEIVE_TIMEOUT_SECONDS = 2.4
-# Seconds for which a connection is kept after an answer. Some clients ask once and never close, and clients
-# together have only so many connections.
+# The time for which a connection is kept open after an answer. Some clients send one request and never close,
+# and all clients together have only so many connections.
 IDLE_TIMEOUT_SECONDS = 2.5
-# Part of the limit from which on idle connections make room for new ones. Clients may have fewer places
-# than we do, as behind an address translation, in a pool of their own or, here, by the platform's cap of a
-# third of the descriptors; those that ask once and never close would fill these, and nobody could ask while
-# we had room. It covers any pile of idle connections, leaked ones too. It could hurt where more clients
-# than this ask seldom: each then connects anew, and what crosses a close is sent twice.
+# The share of the connection limit above which a new connection evicts an idle one. Clients may be able to
+# open fewer connections than the gateway accepts: behind address translation, with a connection pool of their
+# own, or because the platform caps them at a third of the descriptors. Clients that send one request and
+# never close would use these up, and nobody could connect although the gateway had room. The share covers
+# any accumulation of idle connections, leaked ones included. Its cost appears where more clients than this
+# send requests rarely: each has to reconnect, and a request that crosses a close is sent twice.
 IDLE_EVICTION_SHARE = 0.5
-MAX_UNPARSED_BYTES = 4096  # bytes of a request that may be refused without being parsed
-RETRY_AFTER_SECONDS = (
-    0.2,
-    0.6,
-)  # seconds after which those are to come back, spread: some intervals of ownlimit.py
-# Seconds for which a client may go on sending what was rejected, before its bytes earn it more (`RateFloor`).
-# To close at once would reset a client that still sends, and its answer with it.
+MAX_UNPARSED_BYTES = 4096  # of a request that may be refused without being parsed
+# The range from which Retry-After is drawn, to spread refused clients: a few intervals of the overload
+# detection.
+RETRY_AFTER_SECONDS = (0.2, 0.6)
+# The time for which a client may keep sending after a rejection, until its bytes earn it more (`RateFloor`).
+# An immediate close would reset a client that is still sending, and the answer would be lost with it.
 LINGER_SECONDS = 0.5
-SWEEP_INTERVAL_SECONDS = 0.25  # seconds between looks at who is overdue
-# Seconds that a request needs to be sent on at all, of a process that is ended soon: its answer's way, and as
+SWEEP_INTERVAL_SECONDS = 0.25
+# A stopping process forwards a request only if this much time remains: a margin for the answer's way, and as
 # much for the host.
 MIN_REMAINING_SECONDS = 2 * DEADLINE_MARGIN_MICROSECONDS / SECOND
-# Seconds after which a client that asked may have left again: it is looked at before its request is taken.
+# If a request waited unread for longer than this, its client may have left: the gateway checks before it
+# accepts the request.
 CLIENT_LEFT_CHECK_SECONDS = 0.05
-# Connections that are looked at to make room for one. Those with something unread go to the end of the line,
-# so that a crowd of them costs each newcomer no more than these few looks.
+# Connections that are checked to find one to evict. Those with unread input move to the end of the queue, so
+# that many of them cost each new connection only this many checks.
 MAX_EVICTION_CHECKS = 8
-# Connections past the limit that are kept for one request each, to refuse it with an answer: a bare close
-# leaves a client to guess whether its request was heard. Their descriptors are reserved (RESERVED in
-# program.py).
+# Connections above the limit that are kept open for one request each, to refuse it with an answer: a bare
+# close leaves a client to guess whether its request was received. Their descriptors are reserved
+# (RESERVED_DESCRIPTORS in program.py).
 MAX_SURPLUS_CONNECTIONS = 8
 _FRAMING_HEADER = re.compile(
     rb"\n(?:content-length|transfer-encoding|expect|upgrade|connection)[ \t]*:", re.IGNORECASE
@@ -95,7 +107,7 @@
 
 
 class Frontend:
-    """The listener and its connections."""
+    """The client listener and its connections."""
 
     def __init__(
         self,
@@ -106,9 +118,10 @@
         routes: Routes | None = None,
         max_buffered_bytes: int | None = None,
     ) -> None:
-        """`door`: the selector of this loop, if it knows of the process's own limit.
+        """`selector`: the selector of this loop, if it is a `PrioritySelector`.
 
-        `routes`: where paths lead, for an application that knows nothing of classes; its requests need no id.
+        `routes`: map paths to classes, for an application that knows nothing of classes; its requests need no
+        id. `max_buffered_bytes`: the limit, if not `MAX_BUFFERED_BYTES`.
         """
         self.gateway = gateway
         self.overload = (
@@ -120,44 +133,44 @@
         self._is_sweeping = False
         self._sends_retry_after = settings.sends_retry_after
         self._random = Random()
-        self.max_connections = max_connections  # connections at most
+        self.max_connections = max_connections
         self.connections: set[ClientConnection] = set()
-        self.surplus_connections: set[ClientConnection] = set()  # those of them that are past the limit
-        # Those with no request in work, in the order in which they make room for others.
+        self.surplus_connections: set[ClientConnection] = set()  # the connections above the limit
+        # Connections without a request in progress, in the order in which they are evicted.
         self.inactive_connections: OrderedDict[ClientConnection, None] = OrderedDict()
-        # Those with a body on its way, in either direction.
+        # Connections with a streamed body, in either direction.
         self.streaming_connections: set[ClientConnection] = set()
-        self.active_request_ids: set[str] = set()  # of the requests in work
-        self.buffered_bytes = 0  # bytes of requests that are not in work yet
+        self.active_request_ids: set[str] = set()  # X-Request-Id of the requests in progress
+        self.buffered_bytes = 0  # of requests that are not in progress yet
         self.presence = Presence()
         self._loop = asyncio.get_running_loop()
         self.listener = Listener(lambda: ClientConnection(self))
 
     def listen(self, host: str, port: int, inherited: int | None = None) -> Coroutine[Any, Any, int]:
-        """Take connections, once awaited; return the port, which 0 leaves to the system.
+        """Bind now; start to accept and return the port once awaited. Port 0 lets the system choose one.
 
         `inherited`: the descriptor of a socket that listens already.
         """
         self.listener.bind(host, port, inherited)
         if self.selector is not None and self.listener.descriptor is not None:
             self.selector.listener_descriptors.add(self.listener.descriptor)
-        if not self._is_sweeping:  # it may listen anew
+        if not self._is_sweeping:  # this may be a second call of `listen`
             self._is_sweeping = True
             self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
         return self.listener.serve()
 
     @property
     def is_buffer_full(self) -> bool:
-        """Whether more waits than may."""
+        """Whether the buffered requests exceed the limit."""
         return self.buffered_bytes > self._max_buffered_bytes
 
     @property
     def longest_deadline_seconds(self) -> float:
-        """Seconds in which each request that is here is over, by the settings in force and those before."""
+        """The time within which any accepted request is over, by the current and the previous settings."""
         return self.interpreter.longest_deadline / SECOND
 
     def remaining_seconds(self) -> float:
-        """Seconds within which a request that comes now is to be answered, whatever its client says."""
+        """Return the seconds within which a new request must be answered, whatever its own deadline."""
         longest_deadline, now = self.longest_deadline_seconds, self._loop.time()
         remaining, last_answer_at = (
             self.presence.time_left(now, longest_deadline),
@@ -169,7 +182,7 @@
         )
 
     def stop(self) -> None:
-        """The process ends: what begins or comes whole from now on has its answer before the kill."""
+        """Prepare for the end of the process: later requests are answered before the process is killed."""
         now = self._loop.time()
         self.presence.stop(now)
         last_answer_at = self.presence.answer_deadline(self.longest_deadline_seconds)
@@ -177,49 +190,51 @@
             self.gateway.limit_answer_time(last_answer_at - now)
 
     def refuse_incomplete_requests(self) -> None:
-        """The last moment for answers has come: what is still being received can't be taken any more."""
+        """Refuse the requests that are still being received, as the last moment for answers has come."""
         for client in list(self.connections):
             client.refuse_incomplete_request()
 
     @property
     def is_ready(self) -> bool:
+        """Whether `/up` answers 200: there is a list of hosts, and the process is not stopping."""
         return self.gateway.has_host_list and self.presence.accepts_clients
 
     def apply_settings(self, settings: Settings, max_connections: int, routes: Routes | None = None) -> None:
-        """Go by other settings. What clients have sent by the old ones still comes in for a while."""
+        """Use new settings; for a while, requests that were sent under the old ones may still arrive."""
         self.interpreter.apply_settings(settings, self._loop.time(), routes)
         self._sends_retry_after, self.max_connections = settings.sends_retry_after, max_connections
         self.overload.set_aims(kind.aim / SECOND for kind in settings.classes)
 
     @property
     def has_room(self) -> bool:
-        """Whether a connection of another process may go on here, without one that makes room for it."""
+        """Whether a connection of another process can be adopted without an eviction."""
         return len(self.connections) < IDLE_EVICTION_SHARE * self.max_connections
 
     def adopt_connection(self, endpoint: socket.socket, unsent: bytes) -> ClientConnection:
-        """Go on with a connection of another process; it neither reads nor writes until it is thawed."""
+        """Adopt a connection of another process; it is frozen. `unsent`: output that goes out first."""
         client = ClientConnection(self)
         SocketTransport(endpoint, client, unsent, is_frozen=True)
         return client
 
     def close_listener(self) -> None:
-        """Take no new connection."""
+        """Stop accepting connections."""
         if self.listener.descriptor is not None and self.selector is not None:
             self.selector.listener_descriptors.discard(self.listener.descriptor)
         self.listener.close()
 
     def close(self) -> None:
-        """Take no new connection, and close those that are between requests."""
+        """Stop accepting connections, and close the idle ones."""
         self.close_listener()
         for client in list(self.connections):
             client.close_if_idle()
 
     def admit(self, client: ClientConnection) -> bool:
-        """Hold no more than the limit: descriptors would run out, and connections to hosts would fail.
+        """Admit a new connection, evicting another one if needed; False at the limit.
 
-        Whoever has waited longest without a request in work makes room: a client just opens another. Those
-        that are idle do so well before the limit. Nobody does who is owed a part of an answer, or from whom
-        something waits unread: it may be a whole request, which ending its connection would lose.
+        Without a limit descriptors would run out, and connections to hosts would fail. The connection that
+        has been inactive for longest is evicted, as its client can simply reconnect; idle connections are
+        evicted well below the limit. A connection with unsent output or unread input is not evicted: the
+        input may be a whole request, which would be lost.
         """
         if len(self.connections) >= self.max_connections:
             has_evicted = self._evict_connection(lambda other: other.is_idle)
@@ -231,7 +246,7 @@
         return True
 
     def admit_surplus(self, client: ClientConnection) -> bool:
-        """Keep a connection past the limit for one request that is to be refused, if few are kept so."""
+        """Keep a connection above the limit for one request, to refuse it; False if there are too many."""
         if len(self.surplus_connections) >= MAX_SURPLUS_CONNECTIONS:
             return False
         self.surplus_connections.add(client)
@@ -239,7 +254,7 @@
         return True
 
     def _evict_connection(self, is_evictable: Callable[[ClientConnection], bool]) -> bool:
-        """Close the one that has waited longest of those that may go; False if none of the first few may."""
+        """Close the longest inactive connection that may be evicted; False if none of the first few may."""
         candidates = (
             other for other in self.inactive_connections if is_evictable(other) and not other.unsent_bytes
         )
@@ -251,10 +266,11 @@
         return False
 
     def _sweep(self) -> None:
+        """Close connections that are overdue or stalled and, in a stopping process, idle ones earlier."""
         self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)  # before anything that could fail
         now = self._loop.time()
         for client in [client for client in self.inactive_connections if client.wait_deadline <= now]:
-            # With something unread the loop may be late, not the peer; after that time nobody waits any more.
+            # With unread input the loop may be late, not the peer; after the longest deadline nobody waits.
             if client.has_nothing_unread or client.wait_deadline + self.longest_deadline_seconds <= now:
                 client.time_out()
         for client in [client for client in self.streaming_connections if client.is_stalled(now)]:
@@ -267,53 +283,53 @@
                 client.close_if_idle()
 
     def overload_response(self) -> bytes:
-        """The answer to a request that waited too long unread: nobody has heard of it."""
+        """Return the refusal of a request that waited unread for too long; no host has received it."""
         return serialize_answer(HTTPStatus.SERVICE_UNAVAILABLE, self.retry_after_headers(), b"", True)
 
     def retry_after_headers(self) -> Headers:
-        """When whoever is refused for want of room is to come back, if the settings let that be said."""
+        """Return a Retry-After header for a client that is refused under load, if the settings allow it."""
         if not self._sends_retry_after:
             return []
         return [(b"retry-after", b"%.3f" % self._random.uniform(*RETRY_AFTER_SECONDS))]
 
 
 class ClientConnection(ReaderProtocol):
-    """One client's connection; its requests are handled one after the other."""
+    """A client connection; its requests are handled one after the other."""
 
     def __init__(self, frontend: Frontend) -> None:
         self._request_reader = RequestReader(self._start_body)
         super().__init__(self._request_reader)
         self._frontend = frontend
-        self._incoming_flow: Flow | None = (
-            None  # a body that comes, of the request in work or of one behind it
-        )
-        self._request_flow: Flow | None = None  # that of the request in work
-        self._answer_flow: Flow | None = None  # of its answer, while it is passed on
-        self._is_answer_chunked = False  # and how
-        self._is_http_1_1 = True  # it speaks HTTP/1.1
-        self._had_streamed_answer = False  # its last answer was passed on, and a part of it may be here still
-        self._is_lingering = False  # its answer is out, and what still comes of its body is read and dropped
-        self._discarded_bytes = 0  # bytes that came after what was rejected
+        # The body that is being received, of the request in progress or of a queued one.
+        self._incoming_flow: Flow | None = None
+        self._request_flow: Flow | None = None  # the streamed body of the request in progress
+        self._answer_flow: Flow | None = None  # the body of the answer that is being streamed
+        self._is_answer_chunked = False
+        self._is_http_1_1 = True  # the client speaks HTTP/1.1
+        self._had_streamed_answer = False  # the last answer was streamed, and a part of it may be unsent
+        self._is_lingering = False  # the answer is out, and the rest of the request body is discarded
+        self._discarded_bytes = 0  # read after a rejection
         self._loop = asyncio.get_running_loop()
         self._request_reader.clock = self._loop.time
         self._transport: asyncio.Transport | None = None
         self._queued_requests: deque[Message] = deque()
-        self._is_busy = False
-        self._request_id: RequestId | None = None
-        self._client_request_id = ""
-        self._closes_after_answer = False  # after the answer that is due
-        self._is_input_ignored = False  # whatever comes now is not read any more
-        self._has_too_many_queued = False  # it sent too much ahead
-        self._is_surplus = False  # it came at the limit of connections: its one request is refused
-        self._is_writing_paused = False  # the client does not take what was written to it
+        self._is_busy = False  # a request is in progress
+        self._request_id: RequestId | None = None  # the gateway's id of the request in progress
+        self._client_request_id = ""  # its X-Request-Id
+        self._closes_after_answer = False  # the connection closes after the current answer
+        self._is_input_ignored = False  # input is discarded from now on
+        self._has_too_many_queued = False  # the client sent too many requests ahead
+        self._is_surplus = False  # accepted above the connection limit: its one request is refused
+        self._is_writing_paused = False  # the client does not read what was written to it
         self._descriptor = -1
-        self._awaits_first_bytes = True  # nothing has come yet
-        self._timed_message = 1  # the message whose time to come runs: the first, from the connection's start
-        self._body_message = 0  # the message whose body has begun
-        self._receive_pace = RateFloor(0.0)  # of that body, or of what is dropped
-        self._counted_bytes = 0  # its part of what all have buffered
-        self.waiting_since = 0.0  # loop time from which it waits
-        self.wait_deadline = 0.0  # and at which it has waited long enough
+        self._awaits_first_bytes = True  # nothing has been read yet
+        # The number of the message whose receive timeout runs; that of the first runs from the start.
+        self._timed_message = 1
+        self._body_message = 0  # the number of the message whose body has begun
+        self._receive_pace = RateFloor(0.0)  # of that body, or of the discarded input
+        self._counted_bytes = 0  # the part of `Frontend.buffered_bytes` that is due to this connection
+        self.waiting_since = 0.0  # loop time at which the connection became inactive
+        self.wait_deadline = 0.0  # loop time at which the sweep closes it
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -333,32 +349,33 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is between requests: none is owed an answer, and none has begun to come."""
+        """Whether the connection is between requests: none is unanswered, and none is being received."""
         return not (
             self._is_busy or self._queued_requests or self._is_input_ignored or self._request_reader.has_begun
         )
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of its last answer that the system has not taken yet."""
+        """Bytes of output that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     @property
     def is_lingering(self) -> bool:
-        """Whether its answer is out, and what still comes of its request is dropped."""
+        """Whether the answer is out while the rest of the request body is still read and discarded."""
         return self._is_lingering
 
     @property
     def is_evictable(self) -> bool:
-        """Whether ending it loses no request that is whole, as far as was read."""
+        """Whether closing the connection loses no complete request that has been read."""
         return not (self._is_busy or self._queued_requests)
 
     @property
     def has_nothing_unread(self) -> bool:
-        """Whether nothing waits unread, nor will be read."""
+        """Whether there is no unread input that would still be read."""
         return self._is_input_ignored or self._transport is None or not has_unread(self._transport)
 
     def _start_waiting(self, seconds: float) -> None:
+        """Make the connection inactive; the sweep times it out after this time."""
         self.waiting_since = self._loop.time()
         self.wait_deadline = self.waiting_since + seconds
         self._frontend.inactive_connections[self] = None
@@ -373,7 +390,7 @@
             self._process_input(data, arrived_at)
 
     def _process_input(self, data: bytes | memoryview, arrived_at: float) -> None:
-        """Take bytes that were here at this loop time."""
+        """Parse input that arrived at this loop time, and start the next request."""
         reader = self._request_reader
         messages = reader.feed(data)
         for message in messages:
@@ -384,9 +401,8 @@
             self._complete_body(body)
         if self._is_input_ignored:
             return
-        if (
-            reader.pending_bytes or self._counted_bytes or len(self._queued_requests) > 1
-        ):  # else all of it begins now, or is idle
+        # Otherwise nothing is buffered: the only request starts now, or there is none.
+        if reader.pending_bytes or self._counted_bytes or len(self._queued_requests) > 1:
             self._update_buffered_bytes()
         if reader.error is not None:
             self._handle_malformed_input(reader.error.status)
@@ -397,17 +413,21 @@
             self._track_receive_progress(len(data))
 
     def _handle_malformed_input(self, status: HTTPStatus) -> None:
-        """Nothing that follows can be told apart."""
-        if self._is_lingering:  # its answer is out: what it was to is no matter any more
+        """Handle malformed input: the boundaries of anything that follows are unknown."""
+        if self._is_lingering:  # the request has its answer already
             self._close_after_output(CloseReason.ANSWERED)
-        elif self._answer_flow is not None:  # a part of an answer has gone out, and the rest of it is due
+        elif self._answer_flow is not None:  # a part of an answer has been sent, and the rest must follow
             self._stop_input()
             self._closes_after_answer = True
         else:
             self._reject(status)
 
     def _check_arrival(self, data: memoryview) -> float | None:
-        """The loop time at which these bytes were here; None if nothing more is to be done with them."""
+        """Return the loop time at which this input arrived; None if it needs no further processing.
+
+        Under overload a request that waited too long is refused here; input of a client that has left is
+        dropped.
+        """
         assert self._transport is not None
         is_first_read, self._awaits_first_bytes, selector = (
             self._awaits_first_bytes,
@@ -427,17 +447,17 @@
             and self._refuse_unparsed(data)
         ):
             return None
-        # By the longest that it can have been: what the system tells of it is not always to be believed.
+        # Uses the upper bound of the waiting time, as the kernel's figure is not always reliable.
         max_unread_seconds = selector.max_unread_seconds(is_first_read) if selector else unread_seconds
         if max_unread_seconds > min(
             self._frontend.overload.target, CLIENT_LEFT_CHECK_SECONDS
         ) and has_peer_closed(self._transport):
-            self.abort_connection(CloseReason.CLIENT_LEFT)  # all that it could cause is work for nobody
+            self.abort_connection(CloseReason.CLIENT_LEFT)  # nobody waits for the result
             return None
         return now - unread_seconds
 
     def _refuse_unparsed(self, data: memoryview) -> bool:
-        """Refuse a whole request without a look into it, if it is plain enough that its end is sure."""
+        """Refuse one whole request without parsing it; False if it is not certain where the request ends."""
         text = bytes(data[: MAX_UNPARSED_BYTES + 1])
         if (
             len(text) > MAX_UNPARSED_BYTES
@@ -447,9 +467,10 @@
             return False
         if text.startswith(b"GET /up ") or _FRAMING_HEADER.search(text) or self._transport is None:
             return False
-        if has_unread(self._transport):  # to close over another request would lose it
+        if has_unread(self._transport):  # closing would lose the next request
             return False
-        # Kept, it would ask again at once; anew, it waits to be accepted, which costs nothing here.
+        # On an open connection the client could retry at once; a new connection has to wait in the backlog,
+        # which costs nothing here.
         self._transport.write(self._frontend.overload_response())
         self._record_close(CloseReason.OVERLOAD)
         self._stop_input()
@@ -457,13 +478,15 @@
         return True
 
     def _start_body(self, length: int | None) -> Flow:
-        if self._incoming_flow is not None:  # the body before this one ended in the same read
+        """Return a new flow for a request body; `length`: in bytes, None if it is not declared."""
+        if self._incoming_flow is not None:  # the previous body ended in the same read
             self._complete_body(self._incoming_flow)
         self._incoming_flow = Flow(self, length, self._loop.time(), GRACE_SECONDS, MIN_BODY_RATE)
         self._frontend.streaming_connections.add(self)
         return self._incoming_flow
 
     def _complete_body(self, body: Flow) -> None:
+        """Handle the end of a streamed request body."""
         self._incoming_flow = None
         if self._answer_flow is None:
             self._frontend.streaming_connections.discard(self)
@@ -474,34 +497,35 @@
 
     @property
     def _is_last_request(self) -> bool:
-        """Whether the request in work is to be the last: no more are wanted, and none that is whole waits."""
+        """Whether the request in progress is the last: the process is stopping, and none is queued."""
         return not (self._frontend.presence.accepts_clients or self._queued_requests)
 
     @property
     def _awaits_body(self) -> bool:
-        """Whether the body of the request in work is to come yet."""
+        """Whether the body of the request in progress is incomplete."""
         return self._request_flow is not None and not self._request_flow.is_received
 
     def pause_reading(self) -> None:
-        """The host takes no more for now."""
+        """Pause reading: the host accepts no more for now."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
+        """Resume reading."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     def cancel_reading(self) -> None:
-        """Nobody takes the body's rest, and there is no answer to it."""
+        """Close: the rest of the request body has no recipient, and the request will get no answer."""
         self.abort_connection(CloseReason.ANSWER_BROKEN)
 
     def write_body(self, data: bytes) -> None:
-        """A piece of the answer's body."""
+        """Write a piece of the answer's body."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(encode_chunk(data) if self._is_answer_chunked else data)
 
     def finish_body(self) -> None:
-        """The answer is whole."""
+        """Finish the answer, all of whose body was written."""
         self._answer_flow, self._had_streamed_answer = None, True
         if self._incoming_flow is None:
             self._frontend.streaming_connections.discard(self)
@@ -510,7 +534,7 @@
         self._finish_streamed_answer()
 
     def abort_body(self) -> None:
-        """The answer's rest will not come: a reset, so that the client can tell."""
+        """Reset the connection, so that the client notices that the rest of the answer will not come."""
         self._answer_flow = None
         self._frontend.inactive_connections.pop(self, None)
         self._record_close(CloseReason.ANSWER_BROKEN)
@@ -519,11 +543,12 @@
             reset(self._transport)
 
     def bytes_delivered(self) -> int:
+        """Return the bytes that the client has acknowledged; -1 if that is unknown."""
         return acknowledged_bytes(self._transport) if self._transport is not None else -1
 
     @property
     def state(self) -> ConnectionState:
-        """What it is in the middle of."""
+        """The state of the connection, as a handover sees it."""
         if self._transport is None or self._is_surplus or self._has_too_many_queued or self._is_lingering:
             return ConnectionState.ENDING
         if self._answer_flow is not None:
@@ -538,66 +563,65 @@
 
     @property
     def request_id(self) -> RequestId | None:
-        """The one in work."""
+        """The gateway's id of the request in progress."""
         return self._request_id
 
     @property
     def answer_flow(self) -> Flow | None:
-        """The body of the answer that is on its way."""
+        """The body of the answer that is being streamed."""
         return self._answer_flow
 
     @property
     def request_flow(self) -> Flow | None:
-        """The body of the request in work, while it comes."""
+        """The streamed body of the request in progress."""
         return self._request_flow
 
     @property
     def is_answer_chunked(self) -> bool:
-        """Whether the answer that is on its way goes out in chunks."""
+        """Whether the answer that is being streamed is chunked."""
         return self._is_answer_chunked
 
     @property
     def closes_after_answer(self) -> bool:
-        """Whether it closes behind the answer that is due."""
+        """Whether the connection closes after the current answer."""
         return self._closes_after_answer or not self._is_http_1_1
 
     @property
     def request_reader(self) -> RequestReader:
-        """The reader of what it sends."""
+        """The reader of the client's input."""
         return self._request_reader
 
     def freeze(self) -> bytes:
-        """Neither read nor write; the bytes that have not gone out."""
+        """Stop reading and writing; return the unsent bytes."""
         return self._transport.freeze() if isinstance(self._transport, SocketTransport) else b""
 
     def thaw(self) -> None:
-        """Read and write again."""
+        """Resume reading and writing."""
         if isinstance(self._transport, SocketTransport):
             self._transport.thaw()
 
     def abandon(self) -> None:
-        """It stays with the process that offered it: forget it, without a word to its client."""
+        """Close an adopted connection here, unnoticed by the client, as the other process keeps it."""
         self._record_close(CloseReason.PASSED_ON)
         self._is_input_ignored = True
         if self._transport is not None:
             self._transport.abort()
 
     def resume_input(self, incoming: bytes) -> None:
-        """Go on from these bytes, which another process read and has not used."""
+        """Continue an adopted connection with the bytes that the other process read and did not use."""
         self._awaits_first_bytes = False
-        self._had_streamed_answer = (
-            self.unsent_bytes > 0
-        )  # a slow reader may take long over the last part of an answer
+        # The unsent bytes may be the end of a long answer, for which a slow reader needs time.
+        self._had_streamed_answer = self.unsent_bytes > 0
         self.thaw()
         if incoming:
             self._process_input(incoming, self._loop.time())
 
     def flush_and_close(self) -> None:
-        """Close once what another process left unsent has gone out."""
+        """Close an adopted connection once the bytes that the other process left unsent have been sent."""
         self._record_close(CloseReason.ANSWERED)
         self._stop_input()
         self._start_waiting(IDLE_TIMEOUT_SECONDS)
-        self._had_streamed_answer = True  # the last part of an answer, which a slow reader may take long over
+        self._had_streamed_answer = True  # the end of a long answer, for which a slow reader needs time
         self.thaw()
         if self._transport is not None:
             self._transport.close()
@@ -610,7 +634,11 @@
         length: int | None,
         closes: bool,
     ) -> Flow:
-        """Be in the middle of a request that another process sent on; the flow that its rest goes into."""
+        """Continue to receive the body of a request of another process; return the flow for the rest.
+
+        `length`: of the whole body, None if it is not declared; `received_bytes`: bytes of it that were read
+        there; `closes`: the connection closes after the answer.
+        """
         self._awaits_first_bytes, self._is_busy, self._closes_after_answer = False, True, closes
         self._frontend.inactive_connections.pop(self, None)
         self._request_flow = body = self._request_reader.resume_body(remainder, length, received_bytes)
@@ -622,7 +650,7 @@
     def resume_request(
         self, handed_over: HandedOverRequest, body: Flow, host: TargetHost, connection: AttemptConnection
     ) -> None:
-        """Have the gateway go on with that request over the connection to its host."""
+        """Have the gateway continue that request over `connection` to its host."""
         gateway = self._frontend.gateway
         request_id = gateway.adopt_request(
             handed_over, body, self._send_answer, self.close_if_client_left, host, connection
@@ -632,11 +660,11 @@
 
     @property
     def descriptor(self) -> int:
-        """Its socket's."""
+        """The file descriptor of the socket; -1 without a transport."""
         return int(self._transport.get_extra_info("socket").fileno()) if self._transport is not None else -1
 
     def release_connection(self) -> None:
-        """Another process goes on with it: the connection is closed here without a word."""
+        """Close a connection here, unnoticed by the client, as another process continues it."""
         self._record_close(CloseReason.PASSED_ON)
         if (
             self._request_id is not None
@@ -654,13 +682,13 @@
             self._transport.abort()
 
     def is_stalled(self, now: float) -> bool:
-        """Whether a body on its way is not moved."""
+        """Whether a streamed body makes no progress."""
         return self._sends_too_slowly(now) or (
             self._answer_flow is not None and self._answer_flow.is_overdue(now)
         )
 
     def _sends_too_slowly(self, now: float) -> bool:
-        """Whether the body that comes is overdue; with something unread the loop is late, not the client."""
+        """Whether the incoming body is overdue; with unread input the loop is late, not the client."""
         body = self._incoming_flow
         if body is None or not body.is_overdue(now):
             return False
@@ -670,7 +698,7 @@
         return not loop_is_late or body.is_overdue(now - self._frontend.longest_deadline_seconds)
 
     def abort_stalled(self) -> None:
-        """The client does not send its body, or take its answer, or the host does not give it."""
+        """End a stalled stream: the client or the host does not send or read."""
         self._frontend.streaming_connections.discard(self)
         log.warning(
             "a body is not moved any more: to the client %s, from it %s",
@@ -683,6 +711,7 @@
             self.abort_connection(CloseReason.BODY_STALLED)
 
     def _update_buffered_bytes(self) -> None:
+        """Account for this connection's part of the frontend's buffered bytes."""
         buffered_bytes = (
             sum(len(message.body) for message in self._queued_requests) + self._request_reader.pending_bytes
         )
@@ -690,6 +719,7 @@
         self._counted_bytes = buffered_bytes
 
     def _track_receive_progress(self, byte_count: int) -> None:
+        """Set the deadline for the message that is being received, and send 100 Continue if it is awaited."""
         if self._is_lingering:
             self._extend_deadline(byte_count)
         if self._is_busy or self._is_lingering or not self._request_reader.has_begun:
@@ -709,13 +739,14 @@
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _stop_input(self) -> None:
+        """Ignore all further input, and drop the queued and incomplete requests."""
         self._is_input_ignored = True
         self._queued_requests.clear()
         self._request_reader.discard_partial_message()
         self._update_buffered_bytes()
 
     def refuse_incomplete_request(self) -> None:
-        """Refuse a request of which a part has come, and nothing was sent on; close if there is none."""
+        """Refuse a partly received request of which nothing was forwarded; close an idle connection."""
         if self.is_idle:
             self.close_if_idle()
         elif (
@@ -726,25 +757,26 @@
             self._reject(HTTPStatus.SERVICE_UNAVAILABLE, CloseReason.SHUTDOWN)
 
     def _reject(self, status: HTTPStatus, reason: CloseReason = CloseReason.BAD_INPUT) -> None:
-        """Nothing that comes after this can be told apart any more.
+        """Answer with an error and stop interpreting input: the boundaries of what follows are unknown.
 
-        A request in work ends with it: what follows shows that its length was wrong, and so what it held.
+        A request in progress ends too: the malformed input behind it shows that its length, and therefore its
+        content, was wrong.
         """
         self._record_close(reason)
         self._end_request()
         self._stop_input()
         self._closes_after_answer = True
         self._write_answer(Answer(status))
-        # To close with bytes unread would reset the connection, and could take this answer with it.
+        # A close with unread input would reset the connection, and this answer could be lost with it.
         if self._transport is not None and not self._transport.is_closing():
-            with contextlib.suppress(OSError):  # the client reset it while it was not read
+            with contextlib.suppress(OSError):  # the client reset the connection while nothing was read
                 self._transport.write_eof()
             self._start_waiting(LINGER_SECONDS)
-            self._frontend.inactive_connections.move_to_end(self, last=False)  # the first to make room
+            self._frontend.inactive_connections.move_to_end(self, last=False)  # the first to be evicted
             self._receive_pace.due = self.wait_deadline
 
     def _refuse(self, status: HTTPStatus) -> None:
-        """A request that can't be taken; its body, if that is to come yet, is read and dropped."""
+        """Refuse a request; the rest of its body, if it is incomplete, is read and discarded."""
         if self._awaits_body:
             self._closes_after_answer = True
             self._finish_request(Answer(status))
@@ -753,28 +785,31 @@
             self._reject(status)
 
     def _discard_input(self, byte_count: int) -> None:
-        """Bytes came behind what was rejected: a client that still sends has not read its answer yet."""
+        """Discard input after a rejection: a client that is still sending has not read its answer yet."""
         self._discarded_bytes += byte_count
         if self._discarded_bytes <= MAX_BODY_BYTES:
             self._extend_deadline(byte_count)
 
     def _extend_deadline(self, byte_count: int) -> None:
-        """Give a client that still sends what nobody wants the time that so many bytes earn."""
+        """Give a client whose input is discarded the time that these bytes earn."""
         self._receive_pace.credit(byte_count, self._loop.time())
         self.wait_deadline = self._receive_pace.due
 
     def _reject_excess_requests(self) -> None:
-        """It sends more than may wait. What is in work may have run: only its own answer will do for that."""
+        """Reject a client that sends too many requests ahead, or more than may be buffered.
+
+        A request in progress may have run, so it still gets its own answer first.
+        """
         self._stop_input()
         self._has_too_many_queued = True
         if not self._is_busy:
             self._reject(HTTPStatus.TOO_MANY_REQUESTS)
 
     def close_if_client_left(self) -> bool:
-        """Whether the client has left, though the loop may not have been told yet; its connection ends then.
+        """Return whether the client has left, and close the connection if so.
 
-        The loop is told late where it runs late or the client's socket waits its turn at the own limit, and
-        where nothing is read for now, as the host takes no more of a body.
+        The loop learns of it late if it runs late, if the client's socket waits for its turn under overload,
+        or if reading is paused because the host accepts no more of a body.
         """
         if self._transport is None or self._transport.is_closing():
             return True
@@ -784,11 +819,12 @@
         return True
 
     def _continue_with_queued(self) -> None:
-        """What waited behind another request is next, if anybody waits for it still."""
+        """Start the next queued request, unless the client has left."""
         if not self._queued_requests or self._is_input_ignored or not self.close_if_client_left():
             self._start_next_request()
 
     def _start_next_request(self) -> None:
+        """Start queued requests until one is in progress or writing is paused."""
         while self._queued_requests and not self._is_busy and not self._is_writing_paused:
             message = self._queued_requests.popleft()
             if self._counted_bytes:
@@ -803,10 +839,11 @@
             except BadMessageError as error:
                 self._refuse(error.status)
             except Exception:
-                log.exception("failed on a request")
+                log.exception("failed to handle a request")
                 self._send_answer(Answer(HTTPStatus.INTERNAL_SERVER_ERROR))
 
     def _start_request(self, message: Message) -> None:
+        """Answer a request locally or submit it to the gateway; raise BadMessageError if it is refused."""
         if message.target == b"/up" and message.method == b"GET":
             self._send_answer(
                 Answer(HTTPStatus.OK if self._frontend.is_ready else HTTPStatus.SERVICE_UNAVAILABLE)
@@ -819,8 +856,8 @@
         client_request = frontend.interpreter.interpret(message, self._loop.time())
         client_request_id = client_request.client_request_id
         if client_request_id in frontend.active_request_ids:
-            # Hosts tell requests apart by their ids: a second one could have the first's effect again.
-            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the id is in use")
+            # Hosts deduplicate requests by their ids, and a concurrent second one could repeat the effect.
+            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the request id is in use")
         if not frontend.presence.accepts_clients:
             remaining = frontend.remaining_seconds()
             if remaining <= MIN_REMAINING_SECONDS:
@@ -835,18 +872,18 @@
         request_id = frontend.gateway.submit_request(
             client_request, self._send_answer, unread_seconds, self.close_if_client_left
         )
-        if self._is_busy:  # it may have its answer already
+        if self._is_busy:  # the request may have been answered already
             self._request_id = request_id
             if (
                 message.body_flow is not None
                 and self._request_reader.expects_continue
                 and self._transport is not None
             ):
-                self._request_reader.expects_continue = False  # somebody wants the body
+                self._request_reader.expects_continue = False  # the request was accepted
                 self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def pause_writing(self) -> None:
-        """Answers nobody reads must not pile up: the next request waits, and so does what is passed on."""
+        """Delay the next request and pause a streamed answer, so that unread answers do not accumulate."""
         self._is_writing_paused = True
         if self._answer_flow is not None:
             self._answer_flow.sink_full(self._loop.time())
@@ -858,12 +895,13 @@
         self._continue_with_queued()
 
     def _send_answer(self, answer: Answer) -> None:
+        """Send the final answer to the request in progress."""
         if not self._is_busy:
             return
         if answer.body_flow is not None:
             self._stream_answer(answer, answer.body_flow)
             return
-        if self._awaits_body:  # the answer is here before the request
+        if self._awaits_body:  # the answer precedes the end of the request body
             self._closes_after_answer = True
             self._finish_request(answer)
             self._start_lingering()
@@ -872,11 +910,11 @@
         self._close_or_wait()
 
     def _start_lingering(self) -> None:
-        """Read and drop what still comes of a body whose request has its answer; then close.
+        """Read and discard the rest of a body whose request has been answered; then close.
 
-        To close at once would reset the connection under a client that still sends, and take with it an
-        answer that was not read yet. The client has the time that its bytes earn (`RateFloor`), until its
-        body has come or is longer than any may be; it makes room for others where there is none left.
+        An immediate close would reset the connection of a client that is still sending, and the unread answer
+        would be lost with it. The client has the time that its bytes earn (`RateFloor`), until its body ends
+        or exceeds the limit; at the connection limit it is the first to be evicted.
         """
         now = self._loop.time()
         self._is_lingering, self._receive_pace = True, RateFloor(now)
@@ -887,7 +925,7 @@
         self._frontend.inactive_connections.move_to_end(self, last=False)
 
     def _stream_answer(self, answer: Answer, body_flow: Flow) -> None:
-        """Its body goes on as it comes."""
+        """Start to send an answer whose body is streamed."""
         self._closes_after_answer = self._closes_after_answer or self._is_last_request or self._awaits_body
         length, transport = body_flow.length, self._transport
         self._is_answer_chunked = length is None and self._is_http_1_1
@@ -909,7 +947,7 @@
             body_flow.sink_full(self._loop.time())
 
     def _finish_streamed_answer(self) -> None:
-        """An answer that was passed on is whole."""
+        """Finish a request whose streamed answer is complete."""
         self._is_busy, self._request_id = False, None
         self._release_request_id()
         if self._awaits_body:
@@ -918,6 +956,7 @@
             self._close_or_wait()
 
     def _finish_request(self, answer: Answer) -> None:
+        """End the request in progress with a whole answer."""
         self._is_busy, self._request_id = False, None
         self._release_request_id()
         self._closes_after_answer = (
@@ -926,7 +965,7 @@
         self._write_answer(answer)
 
     def _close_or_wait(self) -> None:
-        """Its answer is out: the connection ends, or waits for the next request."""
+        """After an answer, close the connection or wait for the next request."""
         if self._has_too_many_queued:
             self._reject(HTTPStatus.TOO_MANY_REQUESTS)
             return
@@ -948,9 +987,9 @@
             )
 
     def time_out(self) -> None:
-        """It has waited long enough: for a request, the rest of one, or its last answer to be read.
+        """Time out a connection that waits for a request, the rest of one, or its last answer to be read.
 
-        Of a long answer a slow reader may have a last part to come for as long as any takes.
+        A slow reader has `READER_TIMEOUT_SECONDS` for the unsent end of a streamed answer.
         """
         if (
             self._had_streamed_answer
@@ -966,13 +1005,13 @@
             )
 
     def _record_close(self, reason: CloseReason) -> None:
-        """Have the guard look at a close, before anything of what is owed is forgotten."""
+        """Report a close to the guards, before the state of unanswered requests is cleared."""
         gateway = self._frontend.gateway
-        is_owed = self._is_busy or bool(self._queued_requests)
-        gateway.guards.connection_closed(self._request_id or 0, is_owed, reason, gateway.clock.now())
+        has_unanswered = self._is_busy or bool(self._queued_requests)
+        gateway.guards.connection_closed(self._request_id or 0, has_unanswered, reason, gateway.clock.now())
 
     def abort_connection(self, reason: CloseReason) -> None:
-        """Close it now; what it is owed goes with it."""
+        """Close now; unsent output is discarded."""
         self._frontend.inactive_connections.pop(self, None)
         if not self._is_input_ignored:
             self._record_close(reason)
@@ -981,12 +1020,12 @@
             close_now(self._transport)
 
     def close_if_idle(self) -> None:
-        """Close it if it is between requests; one that has begun to come is still taken."""
+        """Close the connection if it is between requests; a request that has begun to arrive is served."""
         if self.is_idle and self.has_nothing_unread:
             self._close_after_output(CloseReason.IDLE)
 
     def _close_after_output(self, reason: CloseReason) -> None:
-        """Close it; what it is owed still goes out."""
+        """Close once the unsent output has been sent."""
         if not self._is_input_ignored:
             self._record_close(reason)
         self._is_input_ignored = True
@@ -997,10 +1036,10 @@
                 close_now(self._transport)
 
     def eof_received(self) -> None:
-        """The client has left: nothing of it that waits here is sent on.
+        """Drop the client's requests, as it has left.
 
-        The transport closes after this, though only once what the client is owed has gone out; room for more
-        of that would begin its next request.
+        The transport closes after this, but only once the unsent output has been sent; `resume_writing` would
+        start the next queued request in the meantime.
         """
         self._record_close(CloseReason.CLIENT_LEFT)
         self._stop_input()
@@ -1021,7 +1060,7 @@
         self._request_reader.close()
 
     def _end_request(self) -> None:
-        """Give up the one in work: nothing is owed to it, and its id is free."""
+        """End the request in progress without an answer, and release its id."""
         request_id, self._request_id = self._request_id, None
         self._is_busy = False
         self._release_request_id()
--- a/whinrouter/net/gateway.py
+++ b/whinrouter/net/gateway.py
@@ -1,4 +1,15 @@
-"""Drives one `Balancer`: events in, actions out, timers and deadlines. It decides nothing."""
+"""Drives one `Balancer`: feeds it events, carries out its actions, and keeps timers and deadlines.
+
+The gateway itself makes no decision about where and when a request is sent. It promises that each request
+is answered exactly once, unless its client leaves, and within its deadline: where the balancer fails to
+answer in time, the gateway answers itself. An attempt is started, and an answer is delivered, only with the
+consent of the guards (`invariants/lifecycle.py`).
+
+The deadline of a request with a streamed body counts from the end of the body; until then only
+`MAX_UPLOAD_MICROSECONDS` limits it. A streamed answer counts as delivered once its head is sent; from then on
+only the host or the flow's timeouts end it. A request is released once it is answered, or its client has
+left, and all its attempts have ended.
+"""
 
 from __future__ import annotations
 
@@ -45,32 +56,35 @@
 
 log = logging.getLogger(__name__)
 
-# Microseconds that a body may take to come: 40 MiB at the least rate (`FLOOR`), and half as much again.
+# The time that a request body may take to arrive: one and a half times that of 40 MiB at the minimum rate
+# (`MIN_BODY_RATE`).
 MAX_UPLOAD_MICROSECONDS = 2_000 * SECOND
-# Microseconds before the client's own limit by which its answer is due: its way here, which the limit counts
-# too, the way back, and a loop that runs late. On a busy core both ways together took 10 ms at the 99th
+# The answer is due this long before the client's own deadline, which also covers the request's way here and
+# the answer's way back, and event loop lag. On a busy core both ways together took 10 ms at the 99th
 # percentile.
 DEADLINE_MARGIN_MICROSECONDS = 15_000
 
 
 class Answer(NamedTuple):
+    """A final answer to a client."""
+
     status: int
-    headers: Headers = []  # noqa: RUF012 - nobody adds to it
+    headers: Headers = []  # noqa: RUF012 - the default is never modified
     body: bytes = b""
-    body_flow: Flow | None = None  # of the body, where it is passed on as it comes
+    body_flow: Flow | None = None  # the body behind `body`, if it is streamed
 
 
 class HandedOverRequest(NamedTuple):
-    """A request that another process goes on with, as far as its decisions need to know."""
+    """A request that is handed over to another process, with what that process's balancer needs."""
 
-    client_request_id: str  # its id, as its client gave it
-    class_name: str  # empty: a class that was never announced
-    client_timeout: int  # microseconds that its client waits from the end of its body
+    client_request_id: str  # the X-Request-Id of the request
+    class_name: str  # empty: the class is unknown to the balancer
+    client_timeout: int  # microseconds that the client waits, counted from the end of the body
     server: ServerId
 
 
 class ClientRequest(NamedTuple):
-    """A client's request as the module wants it, and as a host does."""
+    """A client's request: the message that a host gets, and what the balancer needs to know."""
 
     message: Message
     class_name: str
@@ -79,11 +93,11 @@
     key: str | None = None
     is_retry: bool = False
     tenant: str = ""
-    client_request_id: str = ""  # its id, as its client gave it
+    client_request_id: str = ""  # the X-Request-Id of the request
 
 
 class _PendingRequest:
-    """A request with its answer owed, or attempts out."""
+    """A request that has not been answered, or that has attempts in flight."""
 
     __slots__ = (
         "attempts",
@@ -111,46 +125,47 @@
         client_left: Callable[[], bool] | None,
         client_request_id: str,
     ) -> None:
-        self.client_request_id = client_request_id  # its id, as its client gave it
-        self.client_left = client_left  # whether its client has left, as far as the system knows
+        self.client_request_id = client_request_id  # the X-Request-Id of the request
+        self.client_left = client_left  # asks the kernel whether the client has closed its connection
         self.request_id = request_id
         self.message = message
-        self.send_answer: Callable[[Answer], None] | None = (
-            send_answer  # None once it has its answer, or the client left
-        )
+        # None once the request is answered, or its client has left.
+        self.send_answer: Callable[[Answer], None] | None = send_answer
         self.lifecycle = lifecycle
         self.deadline_timer: Timer | None = None
-        self.is_deadline_extended = False  # its time was up while an answer lay unread
-        self.attempts: list[Attempt | None] = []  # by number; None once it has ended
-        self.never_ran_count = 0  # how many of them have ended so
-        self.start_by = 0  # when all are to have begun if another may have run; 0: any time
-        self.client_timeout = (
-            0  # microseconds that its client waits from the end of its body, if that is to come yet
-        )
-        self.body_complete_at = 0.0  # loop time at which such a body was whole; 0.0 before
-        self.delayed_timers: list[tuple[Attempt, int, TimerFired]] = []  # timers that wait for that
+        self.is_deadline_extended = False  # the deadline passed while an answer was here unread
+        self.attempts: list[Attempt | None] = []  # by number; None once the attempt has ended
+        self.never_ran_count = 0  # attempts that ended without having run
+        self.start_by = 0  # no attempt starts after this moment if another may have run; 0: no limit
+        # Microseconds that the client waits, counted from the end of the body; 0 unless the body is streamed.
+        self.client_timeout = 0
+        self.body_complete_at = 0.0  # loop time at which the streamed body was complete; 0.0 before
+        # Timers of the balancer that start once the streamed body is complete.
+        self.delayed_timers: list[tuple[Attempt, int, TimerFired]] = []
 
     @property
     def awaits_body(self) -> bool:
-        """Whether its body is still to come."""
+        """Whether the streamed body is still incomplete."""
         return self.client_timeout > 0 and not self.body_complete_at
 
 
 class Clock:
-    """Moments in microseconds of the machine's monotonic clock; whatever the wall clock says is not read.
+    """Moments in microseconds of the machine's monotonic clock; the wall clock is never read.
 
-    0 stands for long ago in the module's words, so moments begin at `ORIGIN`.
+    To the balancer the moment 0 is long ago, so moments start at `ORIGIN`.
     """
 
-    ORIGIN = 1 << 50  # some 35 years: more than any span that is taken off a moment
+    ORIGIN = 1 << 50  # about 35 years: more than any span that is subtracted from a moment
 
     def now(self) -> int:
         return self.ORIGIN + time.monotonic_ns() // 1000
 
 
 class Gateway:
+    """The requests of one process, from their arrival to the end of their last attempt."""
+
     def __init__(self, balancer: Balancer, upstream: AttemptSender, attempt_time: int = 0) -> None:
-        """`attempt_time`: microseconds that an attempt may take; 0: what is left of its request's time."""
+        """`attempt_time`: the timeout of an attempt in microseconds; 0: the deadline of its request."""
         self._attempt_time = attempt_time
         self._balancer = balancer
         self._upstream = upstream
@@ -162,38 +177,39 @@
         self._last_request_id = 0
         self._queued_events: deque[tuple[Event, RequestId | None]] = deque()
         self._is_dispatching = False
-        self._final_answer_time = 0  # moment by which late requests have their answers; 0: none
+        self._final_answer_time = 0  # the moment by which a stopping process answers everything; 0: none
         self.has_host_list = False
 
     @property
     def unanswered_count(self) -> int:
-        """How many requests are owed an answer."""
+        """The number of requests that have not been answered."""
         return sum(pending.send_answer is not None for pending in self._pending.values())
 
     def apply_settings(self, settings: Settings, attempt_time: int = 0) -> None:
-        """The module goes on by other settings."""
+        """Use new settings here, in the balancer and in the guards."""
         self._attempt_time = attempt_time
         self._balancer.update_settings(settings)
         self.guards.retune(settings)
         self.record_event(EventKind.RELOADED, "settings")
 
     def record_event(self, kind: EventKind, detail: str) -> None:
-        """Keep an event of the process beside those of its requests."""
+        """Record an event of the process among those of its requests."""
         self.guards.process_event(kind, detail, self.clock.now())
 
     def export_learned_state(self, now: int) -> LearnedState:
-        """What the module of a process in this one's place goes on from, in spans from now."""
+        """Return the state from which the balancer of a replacing process continues, in spans from now."""
         return self._balancer.export_state(now)
 
     def restore_learned_state(self, learned_state: LearnedState, load_share: float, now: int) -> None:
-        """Go on from what the module of another process learnt, for a part of its requests."""
+        """Continue from another process's learned state; `load_share`: the part of its load to expect."""
         self._balancer.restore_state(learned_state, load_share, now)
 
     def scale_load(self, factor: float) -> None:
-        """The module has so many times the requests that it had."""
+        """Tell the balancer that its load has changed by this factor."""
         self._balancer.scale_limits(factor)
 
     def update_hosts(self, host_list: HostList, is_stale: bool = False) -> None:
+        """Apply a list of hosts from discovery. `is_stale`: the list may be out of date."""
         is_complete = host_list.complete or is_stale
         for member in host_list.members:
             if member.server.state is not State.READY:
@@ -211,10 +227,10 @@
         unread_seconds: float = 0.0,
         client_left: Callable[[], bool] | None = None,
     ) -> RequestId:
-        """A client asks, whose request has waited here for so many seconds.
+        """Accept a client's request that has waited here unread for `unread_seconds`; return its id.
 
-        `reply` is called exactly once, unless the client leaves. `gone` says whether it has: it is asked
-        before anything that has waited is written to a host.
+        `send_answer` is called exactly once, unless the client leaves. `client_left` returns whether the
+        client has left; it is called before anything that had to wait is written to a host.
         """
         self._last_request_id = request_id = self._last_request_id + 1
         message, class_name, timeout, cost, key, is_retry, tenant, client_request_id = client_request
@@ -223,13 +239,13 @@
         timeout = max(1, timeout - unread_time - DEADLINE_MARGIN_MICROSECONDS)
         lifecycle = self.guards.admit(request_id, class_name, now + timeout, now, client_request_id)
         pending = _PendingRequest(request_id, message, send_answer, lifecycle, client_left, client_request_id)
-        if is_expired:  # no host has heard of it
-            self._deliver_answer(pending, Answer(503), now, "its time was up unread")
+        if is_expired:  # no host has received it
+            self._deliver_answer(pending, Answer(503), now, "its deadline passed before it was read")
             return request_id
         self._pending[request_id] = pending
         has_streamed_body = message.body_flow is not None and not message.body_flow.is_received
         message.client_timeout_seconds = timeout / SECOND
-        if has_streamed_body:  # its time begins with the end of its body
+        if has_streamed_body:  # its deadline counts from the end of its body
             pending.lifecycle.deadline, pending.client_timeout = now + MAX_UPLOAD_MICROSECONDS, timeout
         self._set_deadline(pending, pending.lifecycle.deadline, now)
         self._dispatch_event(
@@ -240,7 +256,10 @@
         return request_id
 
     def describe_for_handover(self, request_id: RequestId) -> HandedOverRequest | None:
-        """A request that another process can go on with: its one attempt has begun, its body still comes."""
+        """Return a request in the form in which another process can continue it.
+
+        None unless its body is still incomplete, and exactly one attempt is in flight and has started.
+        """
         pending = self._pending.get(request_id)
         if pending is None or pending.send_answer is None or not pending.awaits_body:
             return None
@@ -262,7 +281,7 @@
         )
 
     def release_request(self, request_id: RequestId) -> None:
-        """Another process goes on with it, and with its attempt: nothing is owed here."""
+        """Release a request that another process continues, and its attempt; it is not answered here."""
         pending = self._pending.get(request_id)
         if pending is None:
             return
@@ -282,7 +301,7 @@
         host: TargetHost,
         connection: AttemptConnection,
     ) -> RequestId:
-        """Go on with a request of another process, whose attempt is out over this connection."""
+        """Continue another process's request with an attempt in flight over `connection`; return its id."""
         self._last_request_id = request_id = self._last_request_id + 1
         now, loop_now = self.clock.now(), self._loop.time()
         message = Message(b"POST", body_flow=body)
@@ -319,7 +338,7 @@
         return request_id
 
     def limit_answer_time(self, max_seconds: float) -> None:
-        """The process ends soon: what begins, or whose body is still to come, has its answer in this time."""
+        """Answer within this time, as the process will end: new requests and those with incomplete bodies."""
         now = self.clock.now()
         self._final_answer_time = now + round(max_seconds * SECOND)
         for pending in list(self._pending.values()):
@@ -327,7 +346,7 @@
                 self._set_deadline(pending, pending.lifecycle.deadline, now)
 
     def _set_deadline(self, pending: _PendingRequest, deadline: int, now: int) -> None:
-        """Have it answered by then, or by the last moment for answers of a process that ends."""
+        """Set the moment by which a request is answered; a stopping process may answer it earlier."""
         pending.lifecycle.deadline = (
             min(deadline, self._final_answer_time) if self._final_answer_time else deadline
         )
@@ -337,7 +356,7 @@
         pending.deadline_timer = self._timers.call_later(remaining / SECOND, self._on_deadline, pending)
 
     def complete_body(self, request_id: RequestId) -> None:
-        """The body of a request that was taken before it has come: its time begins."""
+        """Note that the streamed body of a request is complete: its deadline counts from now."""
         pending = self._pending.get(request_id)
         if pending is None or not pending.awaits_body:
             return
@@ -357,7 +376,7 @@
                 )
 
     def abandon_request(self, request_id: RequestId) -> None:
-        """The client closed its connection: nothing is owed, and nothing may be sent to it any more."""
+        """Note that the client has closed its connection: the request is not answered any more."""
         pending = self._pending.get(request_id)
         if pending is not None and pending.send_answer is not None:
             pending.send_answer = None
@@ -366,9 +385,9 @@
             self._release_if_answered(pending)
 
     def _dispatch_event(self, event: Event, request_id: RequestId | None = None, now: int = 0) -> None:
-        """Hand events to the module one by one: carrying out an action may bring the next.
+        """Pass events to the balancer one by one: carrying out an action may cause the next event.
 
-        `request` is the one that the event is about, and `now` the clock's time if it was just read.
+        `request_id`: the request that the event concerns; `now`: the clock's time, if it was just read.
         """
         if self._is_dispatching:
             self._queued_events.append((event, request_id))
@@ -383,6 +402,7 @@
             self._is_dispatching = False
 
     def _handle_event(self, event: Event, request_id: RequestId | None, now: int) -> None:
+        """Pass one event to the balancer and carry out its actions; an exception fails only its request."""
         try:
             for action in self._balancer.handle(event, now):
                 self._execute_action(action, now)
@@ -390,13 +410,14 @@
             if pending is not None and pending.send_answer is None:
                 self._release_if_answered(pending)
         except Exception:
-            # One request must not end the process, nor be left without an answer.
-            log.exception("failed on %s", type(event).__name__)
+            # A fault in one request must neither end the process nor leave the request unanswered.
+            log.exception("failed to handle %s", type(event).__name__)
             if request_id is not None:
                 self._fail_request(request_id, 500)
 
     def _execute_action(self, action: Action, now: int) -> None:
-        # In the order of how often each comes.
+        """Carry out an action of the balancer."""
+        # In the order of frequency.
         if isinstance(action, Send):
             self._send_attempt(self._pending[action.request], action, now)
         elif isinstance(action, SetTimer):
@@ -409,34 +430,35 @@
         elif isinstance(action, Refuse):
             retry_after = action.retry_after
             headers = [(b"retry-after", b"%.3f" % (retry_after / SECOND))] if retry_after else []
-            self._answer_request(action.request, Answer(503, headers), now, "the module refuses")
+            self._answer_request(action.request, Answer(503, headers), now, "the balancer refuses")
         elif isinstance(action, Fail):
-            self._answer_request(action.request, Answer(502), now, "the module gives up")
-        # Subscribe: the watch always runs. This module sends no probes.
+            self._answer_request(action.request, Answer(502), now, "the balancer gives up")
+        # Subscribe needs no action, as the watch always runs; this balancer sends no probes.
 
     def _set_timer(self, action: SetTimer) -> None:
+        """Start a timer of the balancer; one that concerns an attempt ends with the attempt."""
         delay, token, request_id, number = action
         if request_id is None:
             self._timers.call_later(delay / SECOND, self._dispatch_event, TimerFired(token))
             return
         pending = self._pending.get(request_id)
         attempt = pending.attempts[number] if pending is not None else None
-        if (
-            pending is not None and attempt is not None and pending.awaits_body
-        ):  # the host has not what it is to answer
+        if pending is not None and attempt is not None and pending.awaits_body:
+            # The host does not have the whole request yet.
             pending.delayed_timers.append((attempt, delay, TimerFired(token)))
         elif attempt is not None:
             event = TimerFired(token)
             attempt.timer = self._timers.call_later(delay / SECOND, self._fire_timer, attempt, event, True)
 
     def _fire_timer(self, attempt: Attempt, event: TimerFired, is_first_check: bool) -> None:
-        """Tell the module that an attempt is still out; first have what lies here unread read."""
+        """Tell the balancer that an attempt is still in flight, once its pending input has been read."""
         if is_first_check and attempt.has_unread:
             attempt.timer = self._timers.call_later(0, self._fire_timer, attempt, event, False)
         else:
             self._dispatch_event(event)
 
     def _send_attempt(self, pending: _PendingRequest, action: Send, now: int) -> None:
+        """Start an attempt, or report at once that it was not sent."""
         _, server, expires, start_by = action
         number = len(pending.attempts)
         pending.attempts.append(None)
@@ -445,14 +467,12 @@
         if self._attempt_time and not pending.awaits_body:
             attempt_deadline = min(attempt_deadline, now + self._attempt_time)
         attempt = None
-        if (
-            number and pending.send_answer is not None and self._is_abandoned(pending)
-        ):  # the first comes with what was just read
+        # The first attempt needs no check: the client's input was read just now.
+        if number and pending.send_answer is not None and self._is_abandoned(pending):
             self._report_attempt_end(pending, number, server, Outcome.CANCELLED, now)
             return
-        if (
-            pending.send_answer is not None and attempt_deadline > now
-        ):  # no attempt leaves after the final answer
+        # No attempt starts after the final answer.
+        if pending.send_answer is not None and attempt_deadline > now:
             expires_at = self._loop.time() + (attempt_deadline - now) / SECOND
             attempt = self._upstream.send(
                 server,
@@ -474,10 +494,11 @@
                 self._timers.call_later((attempt_deadline - now) / SECOND, _time_out_attempt, attempt)
 
     def _check_start(self, attempt: Attempt, is_ready: bool, has_waited: bool) -> Outcome | None:
-        """Why an attempt is not to begin; None if it may.
+        """Return the outcome of an attempt that must not start; None if it may start.
 
-        What ends one that had to wait may be told after its connection, in the same turn of the loop. Its
-        client's end may not be told at all, while nothing is read from it.
+        For an attempt that had to wait for its connection, the event that ends it may be handled after the
+        connection in the same turn of the loop. That its client has left may go unnoticed as long as nothing
+        is read from the client.
         """
         pending: _PendingRequest = attempt.owner
         now, loop_now = self.clock.now(), self._loop.time()
@@ -497,13 +518,13 @@
         return None if attempt.has_begun else Outcome.NOT_SENT
 
     def _is_abandoned(self, pending: _PendingRequest) -> bool:
-        """Whether nobody waits for a request any more. One whose client has left is over with this look."""
+        """Whether nobody waits for a request any more; ends a request whose client turns out to have left."""
         if pending.send_answer is not None and pending.client_left is not None and pending.client_left():
             self.abandon_request(pending.request_id)
         return pending.send_answer is None
 
     def _on_answer_began(self, attempt: Attempt, answer: Message) -> None:
-        """An answer has begun whose body is passed on: the client has it, and the host is to end it."""
+        """Deliver an answer whose body is streamed: from now on the host alone can end it."""
         pending: _PendingRequest = attempt.owner
         if pending.send_answer is None or answer.body_flow is None:
             attempt.stop(Outcome.CANCELLED)
@@ -518,7 +539,7 @@
             pending,
             Answer(200, answer.headers, answer.body, answer.body_flow),
             now,
-            "its body is passed on",
+            "its body is streamed",
             True,
         )
         server = attempt.host.member.server.id
@@ -528,20 +549,22 @@
         self._dispatch_event(event, pending.request_id, now)
 
     def _on_attempt_ended(self, attempt: Attempt, outcome: Outcome, answer: Message | None) -> None:
+        """Deliver the answer of a successful attempt, and report the outcome to guards and balancer."""
         pending: _PendingRequest = attempt.owner
         pending.attempts[attempt.number] = None
-        # Before the reply: a process is often put aside when it has written, and that time is not the host's.
+        # Measured before the answer is written: the kernel often preempts a process at a write, and that
+        # time is not the host's.
         now, latency = self.clock.now(), round((self._loop.time() - attempt.started_at) * SECOND)
         if answer is not None and outcome is Outcome.OK and pending.send_answer is not None:
             self._deliver_answer(pending, Answer(200, answer.headers, answer.body), now, "served", True)
-        unread_time = round((attempt.unread_seconds + self._body_wait_seconds(pending, attempt)) * SECOND)
+        excluded_time = round((attempt.unread_seconds + self._body_wait_seconds(pending, attempt)) * SECOND)
         self.guards.attempt_ended(pending.lifecycle, attempt.number, attempt.has_begun, outcome, now)
         self._report_attempt_end(
-            pending, attempt.number, attempt.host.member.server.id, outcome, now, latency, unread_time
+            pending, attempt.number, attempt.host.member.server.id, outcome, now, latency, excluded_time
         )
 
     def _body_wait_seconds(self, pending: _PendingRequest, attempt: Attempt) -> float:
-        """Seconds of an attempt in which its host waited for the client's body."""
+        """Return for how many seconds of an attempt the host waited for the client's body."""
         if not pending.client_timeout:
             return 0.0
         return max(0.0, (pending.body_complete_at or self._loop.time()) - attempt.started_at)
@@ -554,8 +577,13 @@
         outcome: Outcome,
         now: int,
         latency: int = 0,
-        unread_time: int = 0,
+        excluded_time: int = 0,
     ) -> None:
+        """Report the end of an attempt to the balancer.
+
+        `excluded_time`: microseconds of the latency in which the answer waited here unread, or in which the
+        host waited for the request body.
+        """
         is_answered = pending.send_answer is None
         pending.never_ran_count += outcome.never_ran
         body_flow = pending.message.body_flow
@@ -568,12 +596,13 @@
             latency,
             is_answered,
             None,
-            unread_time,
+            excluded_time,
             is_body_consumed,
         )
         self._dispatch_event(event, pending.request_id, now)
 
     def _answer_request(self, request_id: RequestId, answer: Answer, now: int, reason: str) -> None:
+        """Deliver an answer, unless the request is over."""
         pending = self._pending.get(request_id)
         if pending is not None and pending.send_answer is not None:
             self._deliver_answer(pending, answer, now, reason)
@@ -581,18 +610,18 @@
     def _deliver_answer(
         self, pending: _PendingRequest, answer: Answer, now: int, reason: str, is_served: bool = False
     ) -> None:
-        """Give the client its final answer, if it may have this one: there is no other way to one."""
+        """Send the client its final answer, subject to the guards; no other method sends one."""
         send_answer, pending.send_answer = pending.send_answer, None
         status = self.guards.may_answer(pending.lifecycle, answer.status, is_served, reason, now)
         if send_answer is not None and status:
             send_answer(answer if status == answer.status else Answer(status))
 
     def _release_if_answered(self, pending: _PendingRequest) -> None:
-        """Nothing more may leave for a request that is over; once all attempts have ended, drop it."""
+        """Cancel the unsent attempts of a request that is over; once all attempts have ended, release it."""
         if pending.send_answer is not None:
             return
         for attempt in pending.attempts:
-            # Its connection may yet come up; one whose answer is passed on has had its request.
+            # An attempt that still connects must not be sent. The host of a streamed answer has the request.
             if attempt is not None and not attempt.is_fully_written and not attempt.is_streaming:
                 attempt.stop(Outcome.CANCELLED)
         if not any(pending.attempts):
@@ -601,31 +630,30 @@
             self._pending.pop(pending.request_id, None)
 
     def _on_deadline(self, pending: _PendingRequest) -> None:
-        """The client's time is up: what is out has timed out, and the module answers."""
+        """The deadline has passed: time out the attempts in flight; the balancer then answers."""
         remaining = pending.lifecycle.deadline - self.clock.now()
-        if remaining > 0:  # the loop's clock is coarser; the module must see that the time is up
+        if remaining > 0:  # the loop's clock is coarser; the balancer must see that the deadline has passed
             pending.deadline_timer = self._timers.call_later(remaining / SECOND, self._on_deadline, pending)
             return
         if not pending.is_deadline_extended and any(
             attempt is not None and attempt.has_unread for attempt in pending.attempts
         ):
-            pending.is_deadline_extended = (
-                True  # an answer is here: one more turn of the loop, and it is the client's
-            )
+            # An answer is here: after one more turn of the loop the client has it.
+            pending.is_deadline_extended = True
             pending.deadline_timer = self._timers.call_later(0, self._on_deadline, pending)
             return
         for attempt in list(pending.attempts):
             if attempt is not None:
                 _time_out_attempt(attempt)
-        self._fail_request(pending.request_id, 504)  # only if the module holds it still
+        self._fail_request(pending.request_id, 504)  # in case the balancer has not answered
 
     def _fail_request(self, request_id: RequestId, status: int) -> None:
-        """An answer of the gateway's own: a fault must not leave a client without one."""
+        """Answer a request that the balancer did not answer, as after a fault."""
         pending = self._pending.get(request_id)
         if pending is None or pending.send_answer is None:
             return
-        log.error("request %d had no answer from the module", request_id)
-        self._answer_request(request_id, Answer(status), self.clock.now(), "the module had no answer")
+        log.error("the balancer did not answer request %d", request_id)
+        self._answer_request(request_id, Answer(status), self.clock.now(), "the balancer did not answer")
         self._dispatch_event(RequestGone(request_id), request_id)
         for attempt in list(pending.attempts):
             if attempt is not None:
@@ -634,7 +662,8 @@
 
 
 def _time_out_attempt(attempt: Attempt) -> None:
-    if attempt.is_streaming:  # the answer has begun: it is its host's to end
+    """End an attempt that has no answer yet."""
+    if attempt.is_streaming:  # the answer has begun, and the host ends it
         return
-    # With its last byte still here the host never had it, and the client may try again without harm.
+    # Without the last byte the host never had the request, and the client may safely retry.
     attempt.stop(Outcome.TIMEOUT if attempt.is_fully_written else Outcome.NOT_SENT)
--- a/whinrouter/net/hostfile.py
+++ b/whinrouter/net/hostfile.py
@@ -1,4 +1,4 @@
-"""Hosts from a list or from a file that is watched, as discovery tells them."""
+"""Hosts from a fixed list, or from a file that is polled for changes; the lists have discovery's form."""
 
 from __future__ import annotations
 
@@ -12,56 +12,59 @@
 
 log = logging.getLogger(__name__)
 
-POLL_SECONDS = 0.1  # seconds between looks at the file: a fifth of what a change may take to be in force
+POLL_SECONDS = 0.1  # a fifth of the time within which a change has to be in force
 MAX_FILE_BYTES = 1024 * 1024
 
 Address = tuple[str, int]
 
 
 def member_at(address: Address) -> Member:
-    """A host that is known by its address alone."""
+    """A host of which only the address is known."""
     host, port = address
     return Member(Server(hashed_server_id(f"{host}:{port}")), address)
 
 
 def whole_list(addresses: Iterable[Address], revision: int = 1) -> HostList:
-    """A whole list of hosts."""
+    """A complete list of the hosts at these addresses."""
     return HostList(revision, True, tuple(map(member_at, addresses)))
 
 
 class HostFile:
-    """A file with a host's address in each line; `#` begins a comment.
+    """A file with the address of one host in each line; `#` begins a comment.
 
-    A file that is gone, empty or no good changes nothing: the list in hand stays in force, as a list that is
-    being written or was lost must not take all hosts away.
+    If the file is missing, empty or malformed, the last list stays in force: a file that is being written or
+    was lost must not remove all hosts.
     """
 
     def __init__(
         self, path: str, parse: Callable[[str], Address], on_list: Callable[[HostList], None]
     ) -> None:
-        """`read` makes an address of a line's text, or raises ValueError."""
+        """`parse` converts the text of a line to an address, or raises ValueError."""
         self._path, self._parse, self._on_list = path, parse, on_list
-        self._version: tuple[int, ...] | None = None
+        self._version: tuple[int, ...] | None = None  # of the file when it was last read
         self._revision = 0
         self._last: list[Address] = []
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Read the file, and poll it from now on."""
         self._poll()
 
     def stop(self) -> None:
+        """Stop polling; no list is passed on after this."""
         if self._timer is not None:
             self._timer.cancel()
 
     @property
     def source(self) -> str:
+        """No service assigns revisions here."""
         return ""
 
     def resume(self, source: str, revision: int) -> None:
-        """Its lists are whole ones: there is nothing to go on from."""
+        """No effect: all lists are complete, so there is nothing to continue from."""
 
     def move(self, path: str) -> None:
-        """Follow another file, or this one anew, whether or not it seems to have changed."""
+        """Follow another file, or read the same one again even if it seems unchanged."""
         self._path, self._version = path, None
 
     def _poll(self) -> None:
@@ -77,7 +80,7 @@
         version = (status.st_mtime_ns, status.st_size, status.st_ino)
         if version == self._version:
             return
-        self._version = version  # also of a file that is no good: it is told once
+        self._version = version  # set before the file is read, so that a malformed one is reported only once
         with open(self._path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
         if len(data) > MAX_FILE_BYTES:
--- a/whinrouter/net/hosts.py
+++ b/whinrouter/net/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts as the driver knows them; whoever lists them, by discovery, a file or else, speaks in these words."""
+"""Hosts with their addresses: the form in which each source (discovery, a file) delivers its lists."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One host: as the module knows it, and where it listens."""
+    """One host: the server that the decision module sees, and the address that it listens at."""
 
     server: Server
     address: tuple[str, int]
@@ -18,11 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
+    """A list of hosts, or the changes since the one before if it is not complete."""
+
     revision: int
     complete: bool
     members: tuple[Member, ...]
 
 
 def hashed_server_id(host: str) -> ServerId:
-    """The module's number for a host: a hash, so that it is the same at every gateway and after a restart."""
+    """The number of a host in the decision module: a hash, which is the same in every gateway and process."""
     return int.from_bytes(blake2b(host.encode(), digest_size=8).digest(), "big")
--- a/whinrouter/net/http.py
+++ b/whinrouter/net/http.py
@@ -1,4 +1,16 @@
-"""Parsing and writing HTTP/1.1 messages."""
+"""Parses and serializes HTTP/1.1 messages.
+
+A reader takes the bytes of one connection and emits messages. A message whose body is small is emitted once
+it is complete. A larger one is emitted with the start of its body and a `Flow` for the rest:
+
+    IDLE --first byte--> HEAD --end of the head--> BODY --end of a small body--> IDLE: the message is emitted
+    BODY --more than `MAX_BUFFERED_BODY_BYTES`, or so announced--> STREAMING: the message is emitted
+    STREAMING --end of the body--> IDLE: the flow has ended
+    any --an error--> BROKEN: `error` is set, and no more input may be fed
+
+The parser is httptools (llhttp). The reader adds the limits on sizes, and rejects a body length that another
+parser might read differently.
+"""
 
 from __future__ import annotations
 
@@ -14,28 +26,24 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-MAX_BUFFERED_BODY_BYTES = (
-    64 * 1024
-)  # bytes of a body that is held whole; a larger one is passed on as it comes
-MAX_BODY_BYTES = 40 * 1024 * 1024  # bytes of any body: the largest that are in use, and a quarter more
-MAX_HEAD_BYTES = 16 * 1024  # more than any browser sends; what has no end is noticed early
-# Bytes of framing: chunks' lengths and extensions, trailers. A body may come in chunks of one byte, each with
-# some extension; what is all framing and no body is no message.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a larger body is streamed
+MAX_BODY_BYTES = 40 * 1024 * 1024  # the largest bodies in use, and a quarter more
+MAX_HEAD_BYTES = 16 * 1024  # more than any browser sends; a head without an end is rejected early
+# Limits on framing: chunk sizes and extensions, trailers. A body may come in chunks of one byte, each with an
+# extension; a message that is nearly all framing is rejected.
 MAX_FRAMING_BYTES, FRAMING_BYTES_PER_BODY_BYTE = 64 * 1024, 256
 
-# One for all reads; asyncio would otherwise allocate 256 KiB for each.
+# Shared by all reads; asyncio would otherwise allocate 256 KiB for each.
 _READ_BUFFER = memoryview(bytearray(64 * 1024))
 
 _VERSIONS = ("1.1", "1.0")
 _FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
-_INSPECTED_HEADERS = frozenset(
-    (*_FRAMING_HEADERS, b"expect")
-)  # the headers that are acted on while a message comes
+_INSPECTED_HEADERS = frozenset((*_FRAMING_HEADERS, b"expect"))  # headers that the reader acts on
 _STATUS_LINES = {
     status.value: b"HTTP/1.1 %d %b" % (status.value, status.phrase.encode()) for status in HTTPStatus
 }
 
-# They speak of one connection, not of the message (RFC 9110, 7.6.1), or are written anew.
+# These headers concern one connection, not the message (RFC 9110, 7.6.1), or are generated anew.
 _HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -50,12 +58,12 @@
         b"x-deadline",
     )
 )
-# A client could otherwise strike them out by naming them in Connection.
+# Forwarded always: a client could otherwise remove them by naming them in Connection.
 _END_TO_END_HEADERS = frozenset((b"x-request-id", b"idempotency-key"))
 
 
 class BadMessageError(Exception):
-    """What came is no message that may be used; `status` says so to a client."""
+    """The input is not an acceptable message; `status` is the answer to its sender."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -64,7 +72,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A whole request or answer."""
+    """A request or an answer, complete or with its body streamed."""
 
     method: bytes = b""
     target: bytes = b""
@@ -72,16 +80,15 @@
     headers: Headers = field(default_factory=list)  # names in lower case
     body: bytes = b""
     keep_alive: bool = True
-    arrived_at: float = 0.0  # loop time at which its last bytes were here, read or not
-    forwarded_head: bytes = b""  # what hosts get of its head, once it was sent to one
-    is_http_1_1: bool = True  # its sender speaks HTTP/1.1, and so knows chunks
-    body_flow: Flow | None = None  # of the body behind `body`, where it is passed on as it comes
-    client_timeout_seconds: float = (
-        0.0  # seconds that its client waits, counted from the body's end; of such requests
-    )
+    arrived_at: float = 0.0  # loop time at which its last bytes arrived, read or not
+    forwarded_head: bytes = b""  # the head as hosts get it, cached when it is first sent
+    is_http_1_1: bool = True  # the sender speaks HTTP/1.1 and so understands chunks
+    body_flow: Flow | None = None  # the body behind `body`, if it is streamed
+    # Of a request with a streamed body: for how long the client waits from the end of the body.
+    client_timeout_seconds: float = 0.0
 
     def get(self, name: bytes) -> str | None:
-        """The value of a header, None if there is none."""
+        """Return the first value of a header; None if there is none."""
         for other, value in self.headers:
             if other == name:
                 return value.decode("latin-1").strip()
@@ -89,41 +96,41 @@
 
 
 class _MessageReader:
-    """Takes the bytes of one connection and gives out messages; none may be too large.
+    """Reads the bytes of one connection and emits messages of limited size.
 
-    A message is given out when it is whole, or, where its body is larger than `MAX_BODY`, with the start of
-    its body and a `Flow` for the rest, into which what comes is put from then on. `flow` makes one; None
-    stands for a reader that takes no such messages.
+    A message is emitted when it is complete or, if its body is larger than `MAX_BUFFERED_BODY_BYTES`, with
+    the start of its body and a `Flow` into which the rest is put. `make_flow` makes the flow for a body of
+    the given length; None: the reader rejects such messages.
     """
 
-    __deletable__ = ("_parser",)  # by `close`; a compiled class has to be told
+    __deletable__ = ("_parser",)  # `close` deletes it, which a compiled class has to declare
 
     def __init__(self, make_flow: Callable[[int | None], Flow] | None = None) -> None:
         self._make_flow = make_flow
-        self.body_flow: Flow | None = None  # of the message that comes, once it was given out
-        self.clock: Callable[[], float] = _zero_clock  # of whoever reads: seconds
-        self._framing_bytes = 0  # bytes of this message that are neither head nor body
-        self._body_length: int | None = None  # of its body, as told
-        self._ends_with_connection = False  # its body ends with the connection
-        self.expects_continue = False  # the peer wants a 100 before it sends the body
-        self.has_begun = False  # a part of a message has come
+        self.body_flow: Flow | None = None  # of the current message, once it was emitted
+        self.clock: Callable[[], float] = _zero_clock  # the owner's clock, in seconds
+        self._framing_bytes = 0  # bytes of the current message that are neither head nor body
+        self._body_length: int | None = None  # as declared
+        self._ends_with_connection = False  # the body ends with the connection
+        self.expects_continue = False  # the peer waits for a 100 Continue before it sends the body
+        self.has_begun = False  # a part of a message has been read
         self.message_count = 0  # messages that have begun
-        self.pending_bytes = 0  # bytes since the last whole message, at most
-        self._read_bytes = 0  # bytes of the read that is fed
-        self.error: BadMessageError | None = None  # what is wrong with what follows the whole messages
+        self.pending_bytes = 0  # an upper bound of the bytes read since the last complete message
+        self._read_bytes = 0  # bytes of the current read
+        self.error: BadMessageError | None = None  # why the input behind the emitted messages is rejected
         self._messages: list[Message] = []
         self._target = b""
         self._headers: Headers = []
         self._body: bytes | bytearray = b""
         self._is_in_head = False
-        self._streamed_bytes = 0  # bytes of a body that is passed on
-        self._is_http_1_1 = True  # the message that comes is not of HTTP/1.0
-        self._chunk_tracker: ChunkTracker | None = None  # of a body that comes in chunks
-        self._is_length_declared = False  # how long its body is, in whichever way
+        self._streamed_bytes = 0  # bytes of a streamed body that have been read
+        self._is_http_1_1 = True
+        self._chunk_tracker: ChunkTracker | None = None  # of a chunked body
+        self._is_length_declared = False  # there is a Content-Length or Transfer-Encoding header
         self._parser: httptools.HttpRequestParser | httptools.HttpResponseParser
 
     def feed(self, data: bytes | memoryview) -> list[Message]:
-        """Take what came in; return the messages that are to be had. After an `error` nothing may follow."""
+        """Parse input; return the messages that are emitted. Must not be called after an `error`."""
         self._messages = []
         if self._chunk_tracker is not None:
             self._chunk_tracker.begin_read()
@@ -136,19 +143,19 @@
         except BadMessageError as error:
             self.error = error
         except httptools.HttpParserUpgrade:
-            self.error = BadMessageError(HTTPStatus.BAD_REQUEST, "an upgrade is not possible")
-        except httptools.HttpParserCallbackError as fault:
-            if not isinstance(fault.__context__, BadMessageError):
+            self.error = BadMessageError(HTTPStatus.BAD_REQUEST, "upgrades are not supported")
+        except httptools.HttpParserCallbackError as callback_error:
+            if not isinstance(callback_error.__context__, BadMessageError):
                 raise
-            self.error = fault.__context__
-        except httptools.HttpParserError as broken:
-            self.error = BadMessageError(HTTPStatus.BAD_REQUEST, f"broken HTTP: {broken}")
+            self.error = callback_error.__context__
+        except httptools.HttpParserError as parser_error:
+            self.error = BadMessageError(HTTPStatus.BAD_REQUEST, f"malformed HTTP: {parser_error}")
         if self._chunk_tracker is not None:
             self._chunk_tracker.end_read(data)
         return self._messages
 
     def finish(self) -> list[Message]:
-        """The connection has ended; return the message that ends with it, if there is one."""
+        """Note the end of the connection; return the message that ends with it, if there is one."""
         self._messages = []
         if self._ends_with_connection and self.has_begun and not self._is_in_head:
             self.on_message_complete()
@@ -159,23 +166,26 @@
 
     @property
     def is_in_body(self) -> bool:
-        """Whether the head of a message has come, and its body not yet as a whole."""
+        """Whether a message's head is complete and its body is not."""
         return self.has_begun and not self._is_in_head
 
     def discard_partial_message(self) -> None:
-        """What has come of a message is of no use: nothing may be fed any more."""
+        """Discard an incomplete message. Must not be followed by `feed`."""
         self._target, self._headers, self._body, self.pending_bytes = b"", [], b"", 0
 
     def close(self) -> None:
-        """The connection is over. Parser and reader hold each other: a collector would come by much later."""
+        """Release the parser when the connection is over.
+
+        Parser and reader refer to each other, and the garbage collector would free them much later.
+        """
         del self._parser
 
     def _check_limits(self) -> None:
-        # The parser gathers a line before it shows it: only the count of bytes tells of one without an end.
+        # The parser buffers a line until it is complete, so an endless line shows only in the byte count.
         if self._is_in_head and self.pending_bytes > MAX_HEAD_BYTES:
             raise BadMessageError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         if self._framing_bytes > MAX_FRAMING_BYTES:
-            raise BadMessageError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the message is all framing")
+            raise BadMessageError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the message has too much framing")
 
     def on_message_begin(self) -> None:
         self.has_begun = self._is_in_head = True
@@ -192,21 +202,19 @@
         self._streamed_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._is_in_head:  # a trailer is not what the message was judged by
+        if self._is_in_head:  # trailers are dropped: the message was interpreted without them
             self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
         self._is_in_head = False
-        # The read may hold a message before this one, which took the count of bytes back to nothing.
+        # The same read may hold the end of another message, which reset the byte count.
         if max(self.pending_bytes, self._read_bytes) > MAX_HEAD_BYTES and self._head_size() > MAX_HEAD_BYTES:
             raise BadMessageError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         version = self._parser.get_http_version()
         self._is_http_1_1 = version != "1.0"
         if version not in _VERSIONS:
-            raise BadMessageError(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "this is not HTTP/1")
-        self._framing_bytes = (
-            0  # the head has its own bound; what follows it in this read is counted from here
-        )
+            raise BadMessageError(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "the HTTP version is not 1.0 or 1.1")
+        self._framing_bytes = 0  # the head has a limit of its own; the count starts behind it
         inspected = [header for header in self._headers if header[0] in _INSPECTED_HEADERS]
         if inspected:
             framing = [(name, value.strip().lower()) for name, value in inspected if name in _FRAMING_HEADERS]
@@ -219,7 +227,7 @@
                 self._start_streaming()
 
     def _start_streaming(self) -> None:
-        """The message is too large to be held: what is here of it goes on, and the rest as it comes."""
+        """Emit a message that is too large to be buffered; the rest of its body goes into a flow."""
         if self._make_flow is None:
             raise BadMessageError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         self.body_flow = self._make_flow(self._body_length)
@@ -227,6 +235,7 @@
         self._emit_streamed_message(bytes(self._body), self.body_flow)
 
     def _emit_streamed_message(self, body: bytes, body_flow: Flow | None) -> None:
+        """Emit the current message with the start of its body and the flow for the rest."""
         raise NotImplementedError
 
     def _head_size(self) -> int:
@@ -240,7 +249,7 @@
         if self.body_flow is not None:
             self._stream_body(data)
             return
-        if not self._body:  # nearly all come in one piece
+        if not self._body:  # nearly all bodies come in one piece
             self._body = data
         else:
             if isinstance(self._body, bytes):
@@ -259,7 +268,7 @@
             self._chunk_tracker.chunk_ended()
 
     def remainder(self) -> Remainder | None:
-        """What is still to come of the body that is passed on; None if that can't be told now."""
+        """Return what is still to come of the streamed body; None if that is unknown at the moment."""
         if self.body_flow is None or self.error is not None:
             return None
         if self._body_length is not None:
@@ -299,15 +308,16 @@
 
 
 def _parse_body_length(framing_headers: Headers) -> int | None:
-    """The length of a body, None if it comes in chunks or is not told.
+    """Return the declared length of a body; None if the body is chunked or its length is not declared.
 
-    Whoever reads an odd length otherwise than we do would find another message in the body.
+    An unusual declaration is rejected: a host that reads it differently would find another message inside
+    the body (request smuggling).
     """
     if not framing_headers:
         return None
     (name, value), *others = framing_headers
     if others or (value != b"chunked" if name == b"transfer-encoding" else not value.isdigit()):
-        raise BadMessageError(HTTPStatus.BAD_REQUEST, "the length is not told in one plain way")
+        raise BadMessageError(HTTPStatus.BAD_REQUEST, "the body length is declared ambiguously")
     if name != b"content-length":
         return None
     if len(value) > 9 or int(value) > MAX_BODY_BYTES:
@@ -316,26 +326,29 @@
 
 
 class RequestReader(_MessageReader):
+    """Reads requests."""
+
     def __init__(self, make_flow: Callable[[int | None], Flow] | None = None) -> None:
         super().__init__(make_flow)
         self._parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
-        self._partial_head: bytes | None = b""  # of a head that is not whole; None if its start can't be told
+        # The bytes of an incomplete head; None if it is unknown where the head starts.
+        self._partial_head: bytes | None = b""
 
     def feed(self, data: bytes | memoryview) -> list[Message]:
         had_begun = self.has_begun
         messages = super().feed(data)
         if not (self.has_begun and self._is_in_head):
             self._partial_head = b""
-        elif messages or (had_begun and not self._partial_head):  # it began behind another in this read
+        elif messages or (had_begun and not self._partial_head):  # it began behind another message in a read
             self._partial_head = None
         elif self._partial_head is not None:
             self._partial_head += bytes(data)
         return messages
 
     def replayable_input(self) -> bytes | None:
-        """What another reader has to be fed to stand where this one does, between messages or in one.
+        """Return the input that brings another reader to the state of this one, between or in messages.
 
-        None if that can't be told now, or if the message was given out already.
+        None if that is not possible at the moment, or if the current message was emitted already.
         """
         if not self.has_begun:
             return b""
@@ -363,14 +376,14 @@
         )
 
     def resume_body(self, remainder: Remainder, length: int | None, received_bytes: int) -> Flow:
-        """Stand in the body of a request that another reader gave out; the flow that its rest goes into.
+        """Continue in the body of a request that another reader emitted; return the flow for the rest.
 
-        `length`: of the whole body, if it is told; `received`: bytes of it that have come.
+        `length`: of the whole body, if it is declared; `received_bytes`: bytes of it that were read there.
         """
         assert self._make_flow is not None
         self._parser.feed_data(request_head(remainder))
         self.body_flow = self.body_flow or self._make_flow(length)
-        self.body_flow.length = length  # the head above told what is left
+        self.body_flow.length = length  # the head that was fed declared the remaining length
         self._messages, self._headers, self._body = [], [], b""
         self._body_length, self._streamed_bytes, self.pending_bytes = length, received_bytes, 0
         self.expects_continue = False
@@ -380,7 +393,7 @@
 
     @property
     def streamed_bytes(self) -> int:
-        """Bytes of the body that is passed on, by now."""
+        """Bytes of the streamed body that have been read."""
         return self._streamed_bytes
 
     def on_url(self, url: bytes) -> None:
@@ -399,7 +412,7 @@
 
 
 def _origin_form(target: bytes) -> bytes:
-    """What a target in absolute form (RFC 9112, 3.2.2) asks of the host that it names; else as it is."""
+    """Convert a request target in absolute form (RFC 9112, 3.2.2) to origin form; return others unchanged."""
     scheme, found, rest = target.partition(b"://")
     if not found or scheme.lower() not in (b"http", b"https"):
         return target
@@ -412,12 +425,13 @@
 
 
 class ResponseReader(_MessageReader):
+    """Reads answers."""
+
     def __init__(self, make_flow: Callable[[int | None], Flow] | None = None) -> None:
         super().__init__(make_flow)
-        self.is_answer_to_head = False  # the answer that comes is to a HEAD: it has no body, whatever it says
-        self.has_bodyless_answer = (
-            False  # it was given out without one: nothing on this connection can be told apart
-        )
+        self.is_answer_to_head = False  # the next answer is to a HEAD: it has no body, whatever it declares
+        # An answer to a HEAD was emitted; the framing of anything behind it is unknown.
+        self.has_bodyless_answer = False
         self._parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
 
     def on_headers_complete(self) -> None:
@@ -437,7 +451,7 @@
 
     def on_message_complete(self) -> None:
         status = self._parser.get_status_code()
-        if status >= 200 and not self.has_bodyless_answer:  # an interim answer (1xx) is not the answer
+        if status >= 200 and not self.has_bodyless_answer:  # interim answers (1xx) are skipped
             self._complete_message(b"", status)
 
     def _emit_streamed_message(self, body: bytes, body_flow: Flow | None) -> None:
@@ -445,7 +459,7 @@
 
 
 class ReaderProtocol(asyncio.BufferedProtocol):
-    """A connection's receiving end. All share one buffer: each read is used up before the next."""
+    """The receiving end of a connection. All share one buffer, as each read is consumed before the next."""
 
     def __init__(self, reader: RequestReader | ResponseReader) -> None:
         self._reader = reader
@@ -457,11 +471,12 @@
         self.handle_input(_READ_BUFFER[:nbytes])
 
     def handle_input(self, data: memoryview) -> None:
+        """Consume the bytes of one read; `data` is valid only during the call."""
         raise NotImplementedError
 
 
 def forwarded_headers(headers: Headers) -> Headers:
-    """The headers that go from one side to the other."""
+    """Return the headers to forward: all but the hop-by-hop ones."""
     forwarded = [header for header in headers if header[0] not in _HOP_BY_HOP_HEADERS]
     if len(forwarded) == len(headers):
         return forwarded
@@ -473,7 +488,7 @@
 
 
 def serialize_request(message: Message, remaining_seconds: float) -> bytes:
-    """A client's request in the form in which a host gets it: with so many seconds left."""
+    """Return a client's request as a host gets it, with the remaining time as its deadline."""
     if not message.forwarded_head:
         lines = [b"%b %b HTTP/1.1" % (message.method, message.target)]
         lines += [b"%b: %b" % header for header in forwarded_headers(message.headers)]
@@ -493,6 +508,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
+    """Return one chunk of a chunked body; `data` must not be empty."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -503,7 +519,7 @@
 def serialize_answer_head(
     status: int, headers: Headers, length: int | None, is_chunked: bool, closes: bool
 ) -> bytes:
-    """The head of an answer whose body follows: of that length, in chunks, or up to the connection's end."""
+    """Return the head of an answer whose body has this length, is chunked, or ends with the connection."""
     lines = [_STATUS_LINES.get(status) or b"HTTP/1.1 %d Unknown" % status]
     lines += [b"%b: %b" % header for header in forwarded_headers(headers)]
     if is_chunked or length is not None:
@@ -514,6 +530,7 @@
 
 
 def serialize_answer(status: int, headers: Headers, body: bytes, closes: bool) -> bytes:
+    """Return a whole answer; `closes`: announce that the connection closes behind it."""
     lines = [_STATUS_LINES.get(status) or b"HTTP/1.1 %d Unknown" % status]
     lines += [b"%b: %b" % header for header in forwarded_headers(headers)]
     lines.append(b"content-length: %d" % len(body))
--- a/whinrouter/net/interpreter.py
+++ b/whinrouter/net/interpreter.py
@@ -1,7 +1,6 @@
-"""What a client's request asks for: its class, its id, the time it has, and the hints it carries.
+"""Interprets a client's request: its class, id, deadline and hints. No I/O.
 
-Nothing here waits or writes. A request that asks for nothing that there is raises `BadMessageError`, whose
-status is the answer to it.
+A request that can't be served raises `BadMessageError`, whose status is the answer to it.
 """
 
 from __future__ import annotations
@@ -16,8 +15,8 @@
 from whinrouter.net.http import BadMessageError, Message
 from whinrouter.net.routes import Routes
 
-MAX_REQUEST_ID_CHARACTERS = 128  # characters of a request's id
-MAX_COST_HINT_DIGITS = 12  # of a hint of cost, in microseconds
+MAX_REQUEST_ID_CHARACTERS = 128
+MAX_COST_HINT_DIGITS = 12  # the hint is in microseconds
 GENERATED_ID_BYTES = 16
 _RECOGNIZED_HEADERS = frozenset(
     (
@@ -34,23 +33,23 @@
 
 
 class RequestInterpreter:
-    """Reads requests by the settings in force and, for a while, by those before them."""
+    """Interprets requests by the current settings and, for a while, by the previous ones."""
 
     def __init__(self, settings: Settings, routes: Routes | None = None) -> None:
-        """`routes`: where paths lead, for an application that knows nothing of classes and ids."""
+        """`routes`: map paths to classes, for an application whose requests name no class and no id."""
         self._routes = routes
         self._classes = {request_class.name.encode(): request_class for request_class in settings.classes}
-        # Classes as they were before the settings changed, and until when their requests may still come.
+        # Classes before the settings changed, each with the time until which its requests may still arrive.
         self._previous_classes: dict[bytes, tuple[RequestClass, float]] = {}
 
     @property
     def longest_deadline(self) -> int:
-        """Microseconds in which each request that was taken is over, by these settings and those before."""
+        """The longest deadline, in microseconds, of a class of the current and the previous settings."""
         previous = [request_class for request_class, _ in self._previous_classes.values()]
         return max(request_class.deadline for request_class in [*self._classes.values(), *previous])
 
     def apply_settings(self, settings: Settings, now: float, routes: Routes | None = None) -> None:
-        """Read by other settings; what clients sent by the old ones still comes in. `now`: seconds."""
+        """Use new settings; requests that were sent under the old ones may still arrive. `now`: seconds."""
         new_classes = {request_class.name.encode(): request_class for request_class in settings.classes}
         valid_until = now + max(request_class.deadline for request_class in self._classes.values()) / SECOND
         self._previous_classes = {
@@ -61,13 +60,13 @@
         self._classes, self._routes = new_classes, routes
 
     def interpret(self, message: Message, now: float) -> ClientRequest:
-        """What a request asks for; BadMessageError if that is nothing that there is. `now`: seconds."""
+        """Return the interpreted request; raise BadMessageError if it can't be served. `now`: seconds."""
         headers = _recognized_headers(message)
         if self._routes is not None and b"x-request-id" not in headers:
             headers[b"x-request-id"] = os.urandom(GENERATED_ID_BYTES).hex().encode()
             message.headers.append((b"x-request-id", headers[b"x-request-id"]))
         if not 0 < len(headers.get(b"x-request-id", b"")) <= MAX_REQUEST_ID_CHARACTERS:
-            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the request has no id of use")
+            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the request id is missing or too long")
         request_class = self._resolve_class(message, headers.get(b"x-class"), now)
         key, tenant = headers.get(b"x-key"), headers.get(b"x-tenant")
         return ClientRequest(
@@ -82,6 +81,7 @@
         )
 
     def _resolve_class(self, message: Message, header_class: bytes | None, now: float) -> RequestClass:
+        """Return the class of a request by its path; `header_class`: its X-Class header, which must match."""
         if self._routes is not None:
             return _route_class(self._routes, message, header_class)
         path_class = message.target.partition(b"?")[0].strip(b"/").partition(b"/")[0]
@@ -91,13 +91,16 @@
         ) and path_class in self._previous_classes:
             request_class = self._previous_class(path_class, message, now)
         if request_class is None or (header_class is not None and header_class != path_class):
-            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the class is not known")
+            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the class is unknown")
         if not _is_method_allowed(message, request_class):
-            raise BadMessageError(HTTPStatus.METHOD_NOT_ALLOWED, "the class goes with another method")
+            raise BadMessageError(HTTPStatus.METHOD_NOT_ALLOWED, "the class requires another method")
         return request_class
 
     def _previous_class(self, name: bytes, message: Message, now: float) -> RequestClass | None:
-        """A class as it was, for a request sent before it changed; the module takes it for an unknown one."""
+        """Return a class as it was, for a request that was sent before the class changed.
+
+        The class has no name, so the balancer treats it as an unknown one.
+        """
         request_class, valid_until = self._previous_classes[name]
         if valid_until <= now or not _is_method_allowed(message, request_class):
             return self._classes.get(name)
@@ -109,27 +112,31 @@
 
 
 def _route_class(routes: Routes, message: Message, header_class: bytes | None) -> RequestClass:
+    """Return the class to which the routes map the path of a request."""
     route = routes.find(message.target)
     if route is None or (header_class is not None and header_class != route.kind.name.encode()):
-        raise BadMessageError(HTTPStatus.BAD_REQUEST, "the path leads to no class")
+        raise BadMessageError(HTTPStatus.BAD_REQUEST, "the path matches no class")
     if message.method not in route.methods:
-        raise BadMessageError(HTTPStatus.METHOD_NOT_ALLOWED, "the class goes with another method")
+        raise BadMessageError(HTTPStatus.METHOD_NOT_ALLOWED, "the class requires another method")
     return route.kind
 
 
 def _recognized_headers(message: Message) -> dict[bytes, bytes]:
-    """The headers that are acted on. Of one that comes twice a host might believe the other."""
+    """Return the headers that the gateway interprets.
+
+    A repeated header is an error, as a host might use the other value.
+    """
     found = [header for header in message.headers if header[0] in _RECOGNIZED_HEADERS]
     values = {name: value.strip() for name, value in found}
     if len(values) < len(found):
-        raise BadMessageError(HTTPStatus.BAD_REQUEST, "a header is told twice")
+        raise BadMessageError(HTTPStatus.BAD_REQUEST, "a header is repeated")
     return values
 
 
 def _parse_cost_hint(hint: bytes | None, request_class: RequestClass) -> int:
-    """The work that a hint tells, 0 if it tells none.
+    """Return the hinted cost in microseconds, 0 if there is no valid hint.
 
-    A hint of more work than its class has time for would outweigh all other requests.
+    The cost is capped at the class's deadline: a larger one would outweigh all other requests.
     """
     if not hint or not hint.isdigit() or len(hint) > MAX_COST_HINT_DIGITS:
         return 0
@@ -137,7 +144,7 @@
 
 
 def _parse_deadline(text: bytes | None, request_class: RequestClass) -> int:
-    """How long the client waits; its class's limit if it doesn't say, or says more than that."""
+    """Return the client's deadline in microseconds; at most, and by default, the deadline of its class."""
     if text is None:
         return request_class.deadline
     try:
@@ -145,5 +152,5 @@
     except ValueError:
         seconds = math.nan
     if not math.isfinite(seconds) or seconds <= 0:
-        raise BadMessageError(HTTPStatus.BAD_REQUEST, "the deadline is no time")
+        raise BadMessageError(HTTPStatus.BAD_REQUEST, "the deadline is not a positive finite number")
     return min(round(seconds * SECOND), request_class.deadline)
