--- a/whinrouter/net/routes.py
+++ b/whinrouter/net/routes.py
@@ -1,8 +1,9 @@
-"""Which class a request falls into by its path. No I/O.
+"""The class of a request by its path. No I/O.
 
-The longest prefix of whole segments counts. A path may be read in more than one way (escapes, dot segments,
-doubled slashes): a host that reads it otherwise than we do would run it as another class than the one by
-which it was sent. Such a path is refused if its readings differ in class.
+The route with the longest prefix of whole path segments counts. Hosts interpret some paths differently
+(escapes, dot segments, repeated slashes): a host that reads a path in another way than the gateway would run
+the request as another class than the one by which it was sent. A path whose interpretations differ in class
+is therefore refused.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 
 
 class Route(NamedTuple):
-    """A class with the paths and methods that are its own."""
+    """A class with the path prefix and the methods that lead to it."""
 
-    prefix: bytes  # begins with a slash, and ends with none unless it is the whole
+    prefix: bytes  # begins with a slash, and ends with one only if it is just a slash
     kind: RequestClass
     methods: frozenset[bytes]
 
@@ -33,7 +34,7 @@
         self._routes = {route.prefix: route for route in routes}
 
     def find(self, target: bytes) -> Route | None:
-        """The route of a request's target; None if there is none, or if it depends on the reading."""
+        """The route of a request target; None if there is none, or if it depends on the interpretation."""
         if not target.startswith(b"/"):  # the absolute form (RFC 9112, 3.2.2) is for proxies
             return None
         path = target.partition(b"?")[0].partition(b"#")[0]
@@ -53,12 +54,12 @@
 
 
 def _interpretations(path: bytes) -> list[bytes]:
-    """Other readings of a path that hosts are known to have."""
+    """The other interpretations of a path that hosts are known to use."""
     plain = path.replace(b"\\", b"/")
-    # Of parameters (RFC 3986, 3.3) some hosts look at the part before alone.
+    # Some hosts ignore the parameters of a path segment (RFC 3986, 3.3).
     bare = b"/".join(segment.partition(b";")[0] for segment in plain.split(b"/"))
     readings = [plain, bare]
-    for _ in range(2):  # escapes of escapes are read twice by hosts behind hosts
+    for _ in range(2):  # a host behind another host decodes escaped escapes a second time
         readings += [unquote_to_bytes(reading) for reading in readings]
     single = [re.sub(b"/+", b"/", reading) for reading in readings]
     return [*readings, *single, *(posixpath.normpath(reading) for reading in single)]
--- a/whinrouter/net/sockets.py
+++ b/whinrouter/net/sockets.py
@@ -1,4 +1,4 @@
-"""What a socket tells about its connection that the event loop has not read yet."""
+"""The state of a socket that the event loop has not reported yet, and ways to close one."""
 
 from __future__ import annotations
 
@@ -13,40 +13,38 @@
 from whinrouter.net.transport import SocketTransport
 
 _TCP_INFO = getattr(socket, "TCP_INFO", None) if sys.platform == "linux" else None
-_LAST_RECEIVED, _LAST_RECEIVED_END = (
-    52,
-    56,
-)  # the field's place in struct tcp_info, and the end of what is read
-_ACKED = 120  # the place of tcpi_bytes_acked, of 8 bytes
+# Offsets in struct tcp_info: of tcpi_last_data_recv and of its end, and of tcpi_bytes_acked (8 bytes).
+_LAST_RECEIVED, _LAST_RECEIVED_END = 52, 56
+_ACKED = 120
 _PEER_CLOSED = getattr(select, "POLLRDHUP", select.POLLHUP)
 
 
 def has_unread(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes, or the peer's end of the connection, wait in the system, as when the loop runs late.
+    """Whether data, or the peer's end of the connection, waits in the kernel, as when the loop runs late.
 
-    What the loop was told of is older than this: between its look at the sockets and a decision to close one
-    lie all the other callbacks of its turn.
+    What the loop knows is older than this: all other callbacks of a loop turn run between the loop's poll of
+    the sockets and a decision to close one of them.
     """
     return is_readable(transport.get_extra_info("socket"))
 
 
 def is_readable(endpoint: socket.socket) -> bool:
-    """Whether a read, or an accept, would find something at once."""
+    """Whether a read, or an accept, would return at once."""
     return bool(read_poller(endpoint)(0))
 
 
 def read_poller(endpoint: socket.socket) -> Callable[[float], list[tuple[int, int]]]:
-    """What `readable` asks, for one that is asked often: called with 0, it gives a list of what waits."""
+    """A reusable form of `is_readable` for frequent checks: called with 0, it returns the pending events."""
     poll = select.poll()
     poll.register(endpoint, select.POLLIN)
     return poll.poll
 
 
 def seconds_since_received(transport: asyncio.BaseTransport) -> float:
-    """Seconds since the peer's last bytes came, to a millisecond; 0.0 where the system does not tell.
+    """Seconds since the peer's last data arrived, to a millisecond; 0.0 where the system does not report it.
 
-    It is tcpi_last_data_recv of Linux's TCP_INFO (linux/tcp.h), which counts from the connection's start
-    while nothing has come. Unix sockets and other systems have none.
+    It is tcpi_last_data_recv of Linux's TCP_INFO (linux/tcp.h), which counts from the start of the connection
+    until something arrives. Unix sockets and other systems have none.
     """
     if _TCP_INFO is None:
         return 0.0
@@ -60,9 +58,10 @@
 
 
 def acknowledged_bytes(transport: asyncio.BaseTransport) -> int:
-    """Bytes that the peer's machine has acknowledged since the start; -1 where the system does not tell.
+    """Bytes that the peer's machine has acknowledged so far; -1 where the system does not report it.
 
-    It is tcpi_bytes_acked. What its program does not read is acknowledged up to the size of its buffer alone.
+    It is tcpi_bytes_acked. Data that the peer's program does not read is acknowledged up to the size of its
+    receive buffer.
     """
     if _TCP_INFO is None:
         return -1
@@ -74,7 +73,7 @@
 
 
 def has_peer_closed(transport: asyncio.BaseTransport) -> bool:
-    """Whether the peer has ended its side, though bytes of it may wait unread before that end."""
+    """Whether the peer has closed its side, although data that it sent before may still be unread."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket"), _PEER_CLOSED)
     return bool(poll.poll(0))
@@ -85,8 +84,8 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close so that the peer can tell it from an end: what it has is not all that it was to get."""
-    if _is_frozen(transport):  # it may be another process's by now
+    """Close with a reset, which tells the peer that it has not received everything."""
+    if _is_frozen(transport):  # another process may own the connection by now
         transport.abort()
         return
     with contextlib.suppress(OSError):
@@ -96,14 +95,15 @@
 
 
 def close_now(transport: asyncio.Transport) -> None:
-    """Close now.
+    """Shut the connection down at once, and close it.
 
-    A transport closes its socket in the loop's next turn. What came till then would be reset with it, while a
-    peer that sees the end before it has written anything knows that nothing was taken.
+    A transport closes its socket only in the loop's next turn. Data that arrives until then would be reset
+    along with the connection, while a peer that sees the end before it writes knows that nothing was
+    processed.
     """
     endpoint = transport.get_extra_info("socket")
     is_shut = transport.is_closing() or _is_frozen(transport)
     if not is_shut and transport.get_write_buffer_size() == 0:
-        with contextlib.suppress(OSError):  # the peer was faster
+        with contextlib.suppress(OSError):  # the peer closed first
             endpoint.shutdown(socket.SHUT_RDWR)
     transport.abort()
--- a/whinrouter/net/timer_wheel.py
+++ b/whinrouter/net/timer_wheel.py
@@ -1,9 +1,9 @@
-"""One wheel of timers for the whole process.
+"""One timer wheel for the whole process.
 
-A request sets two or three timers and most never fire. On the loop's own heap each is pushed, sifted and
-swept away by itself; here a timer is an entry in the list of its tick, cancelling one drops what it holds,
-and the loop has one timer: that of the earliest tick. Timers fire up to a tick late and never early, in the
-order of their ticks.
+A request sets two or three timers, most of which never fire. On the loop's own heap each timer is pushed,
+sifted and removed individually. In the wheel a timer is an entry in the list of its tick, cancelling it drops
+the references that it holds, and the loop has one timer: that of the earliest tick. Timers fire up to a tick
+late and never early, in the order of their ticks.
 """
 
 from __future__ import annotations
@@ -16,11 +16,13 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 0.002  # seconds; under the spread of a busy loop's own turns, and well under MARGIN in gateway.py
+# Seconds; shorter than the turns of a busy loop vary, and far below `DEADLINE_MARGIN_MICROSECONDS`
+# (gateway.py).
+TICK = 0.002
 
 
 class Timer:
-    """A call to come."""
+    """A scheduled call; `call` is None once it is cancelled."""
 
     __slots__ = ("args", "call")
 
@@ -29,21 +31,21 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Never call; nothing that the call would have held is kept until its tick."""
+        """Never call; the references to the callback and its arguments are dropped at once."""
         self.call, self.args = None, ()
 
 
 class TimerWheel:
-    """Timers by tick. A cancelled one stays as an empty entry until its tick."""
+    """Timers by tick. A cancelled timer stays as an empty entry until its tick."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._ticks: dict[int, list[Timer]] = {}
         self._order: list[int] = []  # a heap of the ticks that have timers
-        self._armed: asyncio.TimerHandle | None = None
+        self._armed: asyncio.TimerHandle | None = None  # the loop's timer for the earliest tick
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
-        """Call after so many seconds."""
+        """Call `callback` after `delay` seconds."""
         timer = Timer(callback, args)
         tick = int((self._loop.time() + delay) / TICK) + 1
         timers = self._ticks.get(tick)
@@ -68,15 +70,15 @@
 
     def _fire_due(self) -> None:
         self._armed = None
-        now = self._loop.time() + TICK / 2  # the loop wakes up to its clock's resolution early
+        now = self._loop.time() + TICK / 2  # the loop wakes up early by up to its clock's resolution
         while self._order and self._order[0] * TICK <= now:
             for timer in self._ticks.pop(heappop(self._order)):
                 if timer.call is not None:
                     try:
                         timer.call(*timer.args)
-                    except Exception:  # as the loop does: one call's fault is not the next one's
+                    except Exception:  # as in the loop, a failing callback must not stop the next one
                         log.exception("a timer's callback failed")
-        # By way of a property: the compiler takes the field for None still, whatever calls have set since,
-        # and one that set the next timer made this line raise.
+        # Read through a property: the compiler assumes that the field is still None whatever the callbacks
+        # have set, and raised here when one of them had set the next timer.
         if not self.is_armed:
             self._arm()
--- a/whinrouter/net/transport.py
+++ b/whinrouter/net/transport.py
@@ -1,15 +1,15 @@
-"""A stream socket as an asyncio transport whose unsent bytes can be told, and that another process can take.
+"""An asyncio transport for a stream socket that exposes its unsent bytes and can be handed over.
 
-asyncio's own transport keeps what the system has not taken where nobody can ask for it, so that a connection
-could only be handed over once its peer had read everything: a slow reader takes longer over that than a
-replaced process lives. Otherwise this one does as asyncio's `_SelectorSocketTransport`, on public calls of
-the loop alone.
+asyncio's own transport keeps the bytes that the kernel has not accepted in a private buffer, so a connection
+could be handed over to another process only once its peer had read everything, and a slow reader takes
+longer over that than a replaced process lives. Apart from that this class behaves like asyncio's
+`_SelectorSocketTransport`; it uses only public methods of the event loop.
 
     OPEN --freeze--> FROZEN --thaw--> OPEN        either --close, abort, an error--> CLOSED
 
-A frozen transport neither reads nor writes, whatever its protocol asks; the bytes it then holds are the ones
-that another process goes on with. Closing it is closing one of two descriptors of the connection: nothing
-leaves for the peer as long as the other is open.
+A frozen transport neither reads nor writes, whatever its protocol requests; the other process continues with
+the bytes that it then holds. Closing a frozen transport closes one of two descriptors of the connection:
+nothing is sent to the peer as long as the other descriptor is open.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from collections.abc import Callable
 from typing import Any
 
-HIGH_WATER_BYTES = 64 * 1024  # bytes that wait for the peer, past which the protocol is told to pause
+HIGH_WATER_BYTES = 64 * 1024  # unsent bytes above which the protocol has to pause writing
 
 
 class SocketTransport(asyncio.Transport):
-    """One connected socket and its protocol, which is a buffered or a plain one."""
+    """One connected socket and its protocol, an `asyncio.Protocol` or an `asyncio.BufferedProtocol`."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         unsent: bytes = b"",
         is_frozen: bool = False,
     ) -> None:
-        """Begin to read at once, unless `frozen`. `unsent`: bytes that go out ahead of all others."""
+        """Start to read at once, unless `is_frozen`. `unsent`: bytes that are sent before all others."""
         extra = {"socket": connected_socket, "peername": _address_or_none(connected_socket.getpeername)}
         super().__init__(extra | {"sockname": _address_or_none(connected_socket.getsockname)})
         connected_socket.setblocking(False)
@@ -43,9 +43,9 @@
         self._protocol = protocol
         self._buffer = bytearray(unsent)
         self._high_water_bytes, self._low_water_bytes = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
-        self._is_writing_paused = False  # the protocol was told to pause
-        self._is_writer_registered = False  # the loop looks for room
-        self._is_reading = True  # as far as the protocol wishes
+        self._is_writing_paused = False  # the protocol's `pause_writing` was called
+        self._is_writer_registered = False  # the loop polls the socket for writability
+        self._is_reading = True  # the protocol has not paused reading
         self._is_frozen = is_frozen
         self._is_closing = self._is_disconnected = self._is_eof_requested = False
         protocol.connection_made(self)
@@ -55,23 +55,23 @@
 
     @property
     def is_frozen(self) -> bool:
-        """Whether it neither reads nor writes for now."""
+        """Whether the transport is frozen."""
         return self._is_frozen
 
     @property
     def is_writing_paused(self) -> bool:
-        """Whether its protocol was told to pause writing, and will be told to resume."""
+        """Whether the protocol has to pause writing until `resume_writing` is called."""
         return self._is_writing_paused
 
     def freeze(self) -> bytes:
-        """Neither read nor write until `thaw`; return the bytes that the system has not taken."""
+        """Stop reading and writing until `thaw`; return the unsent bytes."""
         self._is_frozen = True
         self._update_reader()
         self._update_writer()
         return bytes(self._buffer)
 
     def thaw(self) -> None:
-        """Go on where `freeze` stopped."""
+        """Resume reading and writing after `freeze`."""
         self._is_frozen = False
         self._update_reader()
         self._update_writer()
@@ -102,7 +102,7 @@
             self._loop.remove_reader(self._descriptor)
 
     def _update_writer(self) -> None:
-        """Have the loop look for room while bytes wait."""
+        """Poll for writability while there are unsent bytes."""
         is_needed = bool(self._buffer) and not (self._is_frozen or self._is_disconnected)
         if is_needed and not self._is_writer_registered:
             self._loop.add_writer(self._descriptor, self._write_ready)
@@ -149,7 +149,7 @@
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self._is_eof_requested:
-            raise RuntimeError("nothing may be written behind the end")
+            raise RuntimeError("cannot write after write_eof()")
         if not data or self._is_disconnected:
             return
         if not (self._buffer or self._is_frozen):
@@ -233,7 +233,7 @@
         self._force_close(None)
 
     def _force_close(self, error: Exception | None) -> None:
-        """Close now, without what has not gone out."""
+        """Close now and discard the unsent bytes."""
         if self._is_disconnected:
             return
         self._buffer.clear()
@@ -243,9 +243,9 @@
         self._schedule_connection_lost(error)
 
     def _handle_protocol_error(self, error: Exception) -> None:
-        """Its protocol is at fault: say so, and close."""
+        """Report an exception that the protocol raised on input, and close."""
         self._loop.call_exception_handler(
-            {"message": "failed on what was read", "exception": error, "transport": self}
+            {"message": "the protocol failed to process input", "exception": error, "transport": self}
         )
         self._force_close(error)
 
@@ -263,7 +263,7 @@
 
 
 def _address_or_none(get_address: Callable[[], Any]) -> Any:
-    """What a socket says of an end; None if it does not, as its peer has gone."""
+    """Return an address of a socket; None if the kernel does not know it, as after a reset by the peer."""
     try:
         return get_address()
     except OSError:
--- a/whinrouter/net/upstream.py
+++ b/whinrouter/net/upstream.py
@@ -1,4 +1,16 @@
-"""Connections to hosts, attempts on them, and how each attempt ended."""
+"""Pools of connections to the hosts, and the attempts that are sent over them.
+
+Theory of operation. `ConnectionPool` has a `_HostPool` for each host that discovery lists as ready. An
+attempt takes an idle connection of its host or opens a new one; a `HostConnection` carries one attempt at a
+time:
+
+    CONNECTING --connected, and the attempt may begin--> BUSY --whole, clean answer--> IDLE --attempt--> BUSY
+    CONNECTING --failed--> closed              BUSY --broken, cancelled, or not reusable--> closed
+    IDLE --idle for too long, stray bytes, host drains or is gone--> closed
+
+Each attempt ends exactly once, with one of the outcomes of `Outcome`. Which one tells whether the host may
+have run the request: it can't have if the connection broke before the last byte of the request had left.
+"""
 
 from __future__ import annotations
 
@@ -22,26 +34,29 @@
 
 log = logging.getLogger(__name__)
 
-PROMPT_SECONDS = 0.005  # seconds within which an answer is not asked how long it lay unread
-SWEEP_SECONDS = 0.25  # seconds between looks at idle connections; a fraction of IDLE_MARGIN
-# Seconds for which a connection rests after an answer: a second one that comes behind it, some milliseconds
-# late (1 to 4 in 101 seen), would be taken for the next request's. No longer than the answer itself took, so
-# that resting ones are never more than those in use were.
+# An answer that took no longer than this is not checked for the time that it waited unread.
+PROMPT_SECONDS = 0.005
+SWEEP_SECONDS = 0.25  # interval of the search for connections that were idle too long; well under the margin
+# A connection is not reused for this long after an answer. A duplicate answer that arrives a few milliseconds
+# behind the first one (1 to 4 ms in 101 cases) would be taken for the answer to the next request. The delay
+# is never longer than the answer itself took, so no more connections are waiting than were in use.
 REUSE_DELAY_SECONDS = 0.005
-IDLE_MARGIN_SECONDS = 2.0  # seconds before the host's own limit at which an idle connection is dropped
+IDLE_MARGIN_SECONDS = 2.0  # an idle connection is closed this long before the host's own idle timeout
 
 
 @dataclass(slots=True, eq=False)
 class _HostPool:
+    """The connections of one host that are idle, and the attempts that are still connecting to it."""
+
     member: Member
     is_ready: bool = True
-    idle: list[HostConnection] = field(default_factory=list)  # the latest used last
+    idle: list[HostConnection] = field(default_factory=list)  # the most recently used one is last
     connecting: set[Attempt] = field(default_factory=set)
 
     def take_idle(self, now: float) -> HostConnection | None:
-        """Take the latest used of those at rest for long enough; None if there is none.
+        """Remove and return the most recently used connection that may be reused; None if there is none.
 
-        The longer one has stood idle, the likelier its host has closed it.
+        The longer a connection has been idle, the likelier it is that the host has closed it.
         """
         for place in range(len(self.idle) - 1, -1, -1):
             if self.idle[place].reusable_from <= now:
@@ -50,49 +65,54 @@
 
 
 class HostConnection(ReaderProtocol):
-    """One connection to a host; carries one attempt at a time."""
+    """One connection to a host, which carries one attempt at a time.
+
+    It is the sink of a streamed request body and the source of a streamed answer body (see `flow.py`).
+    """
 
     def __init__(self, pool: ConnectionPool, host: _HostPool) -> None:
         self._response_reader = ResponseReader(self._new_flow)
         self._response_reader.clock = pool.now
         super().__init__(self._response_reader)
-        self._body: Flow | None = None  # of the request, while it is passed on
-        self._keep_alive = False  # whether the answer that is passed on leaves the connection open
+        self._body: Flow | None = None  # the request body that is being streamed
+        self._keep_alive = False  # whether the answer being streamed leaves the connection open
         self._pool = pool
         self._host = host
         self._transport: asyncio.Transport | None = None
         self._poll: Callable[[float], list[tuple[int, int]]]
         self._attempt: Attempt | None = None
-        self._attempt_started_at = 0.0  # loop time of its latest attempt
+        self._attempt_started_at = 0.0  # loop time of the latest attempt
         self.idle_since = 0.0
         self.reusable_from = 0.0
         self.is_fully_written = False
 
     @property
     def is_usable(self) -> bool:
+        """Whether the connection is open."""
         return self._transport is not None and not self._transport.is_closing()
 
     def is_quiet(self) -> bool:
-        """Whether nothing has come since the last answer: neither the end of it all nor stray bytes wait."""
+        """Whether nothing has arrived since the last answer: no stray bytes, and no end of the connection."""
         transport = self._transport
         return transport is not None and not transport.is_closing() and not self._poll(0)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        # It then tells whether any byte still waits: resume_writing means that the last one left.
+        # With a high-water mark of 0, resume_writing means that the last buffered byte has left.
         transport.set_write_buffer_limits(high=0)
         self._transport = transport
         self._poll = read_poller(transport.get_extra_info("socket"))
         self._pool.connections += 1
 
     def send_attempt(self, attempt: Attempt, now: float) -> None:
+        """Write the attempt's request; its body is attached as a stream if it has not arrived yet."""
         transport = self._transport
         assert transport is not None
         self._attempt, attempt.connection, self._attempt_started_at = attempt, self, now
         self._response_reader.is_answer_to_head = attempt.message.method == b"HEAD"
-        self.is_fully_written = True  # pause_writing takes it back at once if not all of it leaves
+        self.is_fully_written = True  # pause_writing resets this at once if a part stays in the buffer
         transport.write(attempt.encode(now))
-        if transport.is_closing():  # the write failed outright: not one byte left
+        if transport.is_closing():  # the write itself failed, so not one byte has left
             self.is_fully_written = False
         rest = attempt.message.body_flow
         if rest is not None:
@@ -100,12 +120,12 @@
             rest.attach(self, now)
 
     def write_body(self, data: bytes) -> None:
-        """A piece of the request's body."""
+        """Send a piece of the request body."""
         if self._transport is not None and self._body is not None and not self._transport.is_closing():
             self._transport.write(data if self._body.length is not None else encode_chunk(data))
 
     def finish_body(self) -> None:
-        """The request's body is whole; the host has the last byte once it has left."""
+        """The request body is whole; the host can have all of it once the last byte has left."""
         body, self._body = self._body, None
         transport = self._transport
         if transport is None or body is None or transport.is_closing():
@@ -116,12 +136,13 @@
             transport.write(LAST_CHUNK)
 
     def abort_body(self) -> None:
-        """The request's body broke off: its client has left, or sent what is no body."""
+        """The request body broke off: the client has left, or has sent a malformed body."""
         self._body = None
         if self._attempt is not None:
             self._attempt.stop(Outcome.CANCELLED)
 
     def bytes_delivered(self) -> int:
+        """Bytes that the host's machine has acknowledged; -1 if that is not known."""
         return acknowledged_bytes(self._transport) if self._transport is not None else -1
 
     def pause_writing(self) -> None:
@@ -139,27 +160,31 @@
         return Flow(self, length, self._pool.now(), STALL_SECONDS, 0.0)
 
     def pause_reading(self) -> None:
-        """The client takes no more for now."""
+        """Stop reading the answer, as its client accepts no more for now."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
+        """Read the answer again."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     def remainder(self) -> Remainder | None:
-        """What is still to come of the answer that is passed on, and that the connection closes behind."""
+        """The part of the streamed answer that has not been read yet; None if it is not known.
+
+        It is also None while the request body is still being sent.
+        """
         attempt = self._attempt
         is_passed_on = attempt is not None and attempt.is_streaming and self.is_usable
         return self._response_reader.remainder() if is_passed_on and self._body is None else None
 
     @property
     def descriptor(self) -> int:
-        """Its socket's."""
+        """The file descriptor of the socket; -1 without one."""
         return int(self._transport.get_extra_info("socket").fileno()) if self._transport is not None else -1
 
     def freeze(self) -> bytes:
-        """Neither read nor write; the bytes that have not gone out."""
+        """Stop reading and writing; return the bytes that have not been sent."""
         return self._transport.freeze() if isinstance(self._transport, SocketTransport) else b""
 
     def thaw(self) -> None:
@@ -168,9 +193,9 @@
             self._transport.thaw()
 
     def release(self) -> None:
-        """Another process goes on with it: the connection is closed here without a word.
+        """Close the connection here without sending anything: another process has taken it over.
 
-        An answer that has begun counts as served; an attempt before that is given up, with no verdict.
+        An attempt whose answer has begun ends as served; an earlier one is cancelled, which blames no host.
         """
         attempt, self._attempt = self._attempt, None
         if self._transport is not None:
@@ -180,7 +205,7 @@
             attempt.end(Outcome.OK if attempt.is_streaming else Outcome.CANCELLED)
 
     def resume(self, attempt: Attempt, body: Flow) -> None:
-        """Go on with an attempt of another process, whose body still comes."""
+        """Continue an attempt of another process, whose request body is still arriving."""
         transport = self._transport
         assert transport is not None
         self._attempt, attempt.connection, self._attempt_started_at = attempt, self, self._pool.now()
@@ -190,26 +215,26 @@
             body.sink_full(self._attempt_started_at)
 
     def cancel_reading(self) -> None:
-        """The client has left, or nobody wants the answer."""
+        """The client has left, or the answer is not wanted: end the attempt."""
         if self._attempt is not None:
             self._attempt.stop(Outcome.CANCELLED)
         else:
             self.drop()
 
     def handle_input(self, data: memoryview) -> None:
-        if self._attempt is None:  # bytes that nobody asked for would be taken for the next answer
+        if self._attempt is None:  # unrequested bytes would be taken for the next request's answer
             self.drop()
             return
         reader, is_streaming = self._response_reader, self._attempt.is_streaming
         answers = reader.feed(data)
         if is_streaming:
-            if reader.body_flow is None:  # it is whole; what comes behind it is noise
+            if reader.body_flow is None:  # the body is whole; whatever follows it does not belong to it
                 self._finish_stream(not answers and not reader.has_begun and reader.error is None)
             elif reader.error is not None:
                 self._fail_on_bad_answer()
         elif answers:
-            # A whole answer is good whatever comes behind it; the connection is not, as what follows,
-            # even the start of another answer, would be taken for the next one.
+            # A whole answer is valid whatever follows it. The connection is not reusable then: the bytes
+            # behind the answer, even if they begin a well-formed one, would be taken for the next answer.
             is_alone = len(answers) == 1 and not reader.has_begun and reader.error is None
             self._take_answer(answers[0], is_alone)
         elif reader.error is not None:
@@ -222,24 +247,24 @@
     def _take_answer(self, answer: Message, is_alone: bool) -> None:
         if answer.body_flow is None:
             self._finish_answer(
-                answer, self.is_fully_written and is_alone and not self._response_reader.has_bodyless_answer
+                answer,
+                self.is_fully_written and is_alone and not self._response_reader.has_bodyless_answer,
             )
             return
         attempt = self._attempt
         assert attempt is not None
         if attempt.on_streaming is None or _outcome(answer) is not Outcome.OK:
-            # What it says stands in its head, and nobody is to read its body.
+            # The head decides the outcome, and the body is not needed.
             self._finish_answer(answer, False)
             return
         attempt.is_streaming, self._keep_alive = True, answer.keep_alive
         attempt.on_streaming(attempt, answer)
-        if (
-            self._attempt is attempt and self._response_reader.body_flow is None
-        ):  # all of it was in this one read
+        # The whole answer may have come in this one read.
+        if self._attempt is attempt and self._response_reader.body_flow is None:
             self._finish_stream(is_alone)
 
     def _finish_stream(self, is_clean: bool) -> None:
-        """The body of an answer that is passed on is whole."""
+        """The body of a streamed answer is whole."""
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.connection = None
@@ -247,7 +272,10 @@
             attempt.end(Outcome.OK)
 
     def _return_to_pool(self, is_clean: bool) -> None:
-        """Idle until the next attempt, but not until the host closes it: a request could cross that."""
+        """Make the connection idle if it is reusable, else close it.
+
+        An idle connection is closed before the host would close it, as a request could cross that close.
+        """
         host = self._host
         if is_clean and host.is_ready and self.is_usable:
             self.idle_since = now = self._pool.now()
@@ -269,7 +297,7 @@
         attempt.end(_outcome(answer), answer)
 
     def eof_received(self) -> None:
-        """It may be the end of an answer that says no length."""
+        """The host closed its side, which ends an answer that has no length."""
         if self._attempt is not None:
             is_streaming = self._attempt.is_streaming
             answers = self._response_reader.finish()
@@ -285,6 +313,7 @@
         self._response_reader.close()
 
     def _break(self) -> None:
+        """Close a broken connection and end its attempt."""
         attempt, self._attempt = self._attempt, None
         was_fully_written = self.is_fully_written
         self.drop()
@@ -293,10 +322,11 @@
             rest.fail()
         if attempt is not None:
             attempt.connection = None
-            # With request bytes still here the host cannot have begun; after the last one it may have.
+            # While request bytes are still here the host cannot have started; after the last one it may have.
             attempt.end(Outcome.RESET if was_fully_written else Outcome.CONNECT_FAILED)
 
     def drop(self) -> None:
+        """Close the connection now, without ending its attempt."""
         self._attempt = None
         body, self._body = self._body, None
         if body is not None:
@@ -310,14 +340,14 @@
 def _outcome(answer: Message) -> Outcome:
     if answer.status == 200:
         return Outcome.OK
-    # Only the host's own word proves that it did nothing: a 503 may as well come after the work.
+    # Only the host's explicit header proves that nothing ran: a bare 503 may as well come after the work.
     if answer.status in (503, 504) and answer.get(b"x-not-run") == "1":
         return Outcome.REJECTED
     return Outcome.ERROR
 
 
 class ConnectionPool:
-    """The hosts, and the connections to them."""
+    """The connection pools of all hosts, with one limit of descriptors for all of them."""
 
     def __init__(
         self,
@@ -326,13 +356,17 @@
         limit: int,
         unread_seconds_of: Callable[[asyncio.Transport], float] = seconds_since_received,
     ) -> None:
-        """`lay`: for how many seconds what is read now lay here unread."""
+        """Times are in seconds, `limit` is a number of connections.
+
+        `idle_time`: the idle timeout of the hosts. `unread_seconds_of` returns for how many seconds the data
+        that was just read from a transport had waited unread.
+        """
         self._connect_time = connect_time
         self.unread_seconds_of = unread_seconds_of
         self.idle_time = max(idle_time / 2, idle_time - IDLE_MARGIN_SECONDS)
-        self.limit = limit  # connections at most
-        self._connecting = 0
-        self.connections = 0
+        self.limit = limit
+        self._connecting = 0  # connections that are being opened
+        self.connections = 0  # established connections, idle or busy
         self._hosts: dict[ServerId, _HostPool] = {}
         self._loop = asyncio.get_running_loop()
         self.now = self._loop.time
@@ -340,26 +374,27 @@
         self._loop.call_later(self._sweep_seconds, self._sweep)
 
     def retune(self, connect_time: float, idle_time: float, limit: int) -> None:
-        """Go by other figures from now on."""
+        """Apply new limits from now on; the parameters are those of the constructor."""
         self._connect_time, self.limit = connect_time, limit
         self.idle_time = max(idle_time / 2, idle_time - IDLE_MARGIN_SECONDS)
         self._sweep_seconds = min(SWEEP_SECONDS, self.idle_time / 4)
 
     @property
     def descriptors_in_use(self) -> int:
-        """The descriptors in use, at most."""
+        """The largest number of descriptors that connections can be using."""
         return self._connecting + self.connections
 
     def update(self, members: Iterable[Member], complete: bool) -> None:
-        """Follow the list; a host that drains or left gets nothing more, from this moment on.
+        """Apply a list of hosts. A host that drains or is gone is sent nothing more from this moment on.
 
-        What waited for one is given up only when all of the list holds: it may be sent elsewhere at once.
+        `complete`: hosts that the list does not name are gone. Attempts that are still connecting to a
+        removed host end only once the whole list is applied, as they may be sent to another host at once.
         """
         listed = {member.server.id: member for member in members}
         removed = [server for server in self._hosts if server not in listed] if complete else []
         for server, member in listed.items():
             known = self._hosts.get(server)
-            # After a restart the old connections lead nowhere, even if no reset ever came over them.
+            # The connections of a restarted host are dead, even if no reset ever arrived over them.
             if known is not None and (
                 member.server.state is not State.READY
                 or (known.member.address, known.member.server.started_at)
@@ -381,7 +416,7 @@
             attempt.stop(Outcome.NOT_SENT)
 
     def _sweep(self) -> None:
-        """Close what has stood idle for long; of each host's the longest idle stands first."""
+        """Close connections that were idle for too long; in each pool the one idle for longest is first."""
         oldest = self.now() - self.idle_time
         for host in self._hosts.values():
             while host.idle and host.idle[0].idle_since <= oldest:
@@ -399,7 +434,7 @@
         on_streaming: StreamingCallback | None = None,
         may_begin: MayBeginCheck | None = None,
     ) -> Attempt | None:
-        """Start an attempt; None if the host may not be sent to. It may end before this returns."""
+        """Start an attempt; None if the host may not be sent to. The attempt may end before this returns."""
         host = self._hosts.get(server)
         if host is None:
             return None
@@ -411,7 +446,7 @@
                 return attempt
             connection.drop()
         if self.descriptors_in_use >= self.limit and not self._make_room():
-            log.warning("no descriptor is left for another connection")
+            log.warning("no descriptor is left for another connection to a host")
             attempt.end(Outcome.LOCAL_FAILURE)
             return attempt
         self._connecting += 1
@@ -427,15 +462,19 @@
     def adopt(
         self, server: ServerId, endpoint: socket.socket, unsent: bytes
     ) -> tuple[TargetHost, HostConnection]:
-        """Go on with a connection of another process, which neither reads nor writes yet, and its host."""
+        """Take over another process's connection to a host; return the host and the connection.
+
+        The connection neither reads nor writes before it is thawed. `unsent`: bytes that are written first.
+        """
         host = self._hosts.get(server)
-        if host is None:  # it has left, or was never listed here: nothing new goes there
+        if host is None:  # it is gone, or was never listed here: the host is sent nothing new
             host = _HostPool(Member(Server(server, State.DRAINING), ("", 0)), is_ready=False)
         connection = HostConnection(self, host)
         SocketTransport(endpoint, connection, unsent, is_frozen=True)
         return host, connection
 
     def _make_room(self) -> bool:
+        """Close the connection that has been idle for longest; False if none is idle."""
         idle = [connection for host in self._hosts.values() for connection in host.idle]
         if idle:
             min(idle, key=lambda connection: connection.idle_since).drop()
@@ -446,18 +485,21 @@
         self._begin(host, attempt, connection, waited=True)
 
     def _begin(self, host: _HostPool, attempt: Attempt, connection: HostConnection, waited: bool) -> None:
-        """Send an attempt over a connection, if it may begin: there is no other way to one."""
+        """Send an attempt over a connection if it may begin. All attempts pass through here.
+
+        `waited`: the attempt had to wait for its connection.
+        """
         if attempt.may_begin is not None and not attempt.is_over:
             refusal = attempt.may_begin(attempt, host.is_ready, waited)
             if refusal is not None:
                 attempt.stop(refusal)
         if attempt.is_over:
             connection.drop()
-        elif connection.is_usable:  # one reset as soon as it was up would never report that it is lost
+        elif connection.is_usable:  # a connection reset as soon as it was up never reports its loss
             connection.send_attempt(attempt, self.now())
 
     def _on_connect_done(self, host: _HostPool, attempt: Attempt, task: asyncio.Task[ConnectResult]) -> None:
-        """The task is over, be it that it was cancelled before its first step, when nothing in it has run."""
+        """The connecting task is done; cancelled before its first step, it has run none of its code."""
         self._connecting -= 1
         host.connecting.discard(attempt)
         attempt.task = None
--- a/whinrouter/operations/__init__.py
+++ b/whinrouter/operations/__init__.py
@@ -1,1 +1,1 @@
-"""What people do to a running gateway, as state: hosts out, a drain, other settings. No I/O."""
+"""State that operators change at run time: hosts taken out, a drain, reloaded settings. No I/O."""
--- a/whinrouter/operations/controller.py
+++ b/whinrouter/operations/controller.py
@@ -1,9 +1,9 @@
-"""Where the calls of operators meet the gateway: hosts out, the gateway emptied, settings replaced.
+"""Operators' calls on a running gateway: hosts taken out, the gateway drained, health and violations.
 
-Theory of operation. One `Desk` a process holds the state of maintenance and of presence. It stands between
-whoever tells lists and the driver, so that what is out stays out whatever is listed. Where two processes are
-one gateway for a while (an upgrade), what is called at one is told to the other, which does it without
-telling it back. It does no I/O: it is given a clock and functions to call.
+Each process has one `OperationsController`, which holds the state of maintenance and of presence. It passes
+host lists from their source to the driver, so that a host that is out stays out whatever is listed. While two
+processes are one gateway (an upgrade), a call at one of them is sent to the other, which carries it out
+without sending it back. The controller does no I/O: it is given a clock and functions to call.
 """
 
 from __future__ import annotations
@@ -21,26 +21,22 @@
 
 @dataclass(slots=True)
 class OperationsController:
-    """The operators' side of one process."""
+    """The operators' view of one process."""
 
-    now: Callable[[], int]  # the module's moments, in microseconds
-    loop_time: Callable[[], float]  # seconds of the clock that presence goes by
-    deliver: Callable[[HostList, bool], None]  # the driver; the second: it is an old whole list
+    now: Callable[[], int]  # microseconds of the decision module's clock
+    loop_time: Callable[[], float]  # seconds of the event loop's clock, for `presence`
+    deliver: Callable[[HostList, bool], None]  # passes a list to the driver; True: it is stale
     presence: Presence
     maintenance: Maintenance = field(default_factory=Maintenance)
     starts: StartTimes = field(default_factory=StartTimes)
-    share_call: Callable[[str, str], None] = (
-        lambda name, argument: None
-    )  # what was called, to the other process
-    share_list: Callable[[HostList], None] = lambda host_list: None  # what was listed, likewise
-    violation_summary: Callable[[], str] = (
-        lambda: "none"
-    )  # the invariants that were violated, with their counts
+    share_call: Callable[[str, str], None] = lambda name, argument: None  # sends a call to the other process
+    share_list: Callable[[HostList], None] = lambda host_list: None  # sends a list to the other process
+    violation_summary: Callable[[], str] = lambda: "none"  # the violated invariants, with their counts
     revision: int = 0
-    members: dict[ServerId, Member] = field(default_factory=dict)  # those that are listed, as they are told
+    members: dict[ServerId, Member] = field(default_factory=dict)  # the listed hosts, as discovery has them
 
     def register_calls(self, calls: CallRegistry, is_ready: Callable[[], bool]) -> None:
-        """Add what operators may call."""
+        """Add the operators' calls to the registry."""
         calls.add("HEALTH", (), lambda: self._health(is_ready()))
         calls.add("VIOLATIONS", (), lambda: self.violation_summary())
         for name, argument_names in (("OFFLINE", ("ID",)), ("ONLINE", ("ID",)), ("LEAVE", ()), ("JOIN", ())):
@@ -57,7 +53,10 @@
         return f"{self.presence.stage.value} hosts={len(self.members)} out={out_count}"
 
     def execute(self, name: str, argument: str, notify_peer: bool = False) -> str:
-        """Do what was called, here or, if not `shared`, at the other process of this gateway."""
+        """Carry out a call; `notify_peer`: it was made here, so the other process is told of it.
+
+        Returns the answer; CallRefusedError if it can't be carried out now.
+        """
         if name in ("OFFLINE", "ONLINE"):
             answer = self._set_out(name, argument)
         elif name == "LEAVE":
@@ -91,18 +90,18 @@
         start_ages: Mapping[ServerId, StartAge],
         now: int,
     ) -> None:
-        """Go on from what another process of this gateway knows, told as ages."""
+        """Take over the state of another process of this gateway, given as ages in microseconds."""
         self.maintenance.restore(out_ages, back_ages, now)
         self.starts.adopt(start_ages, now)
 
     def apply_peer_stops(self, host_list: HostList) -> None:
-        """The other process was told of hosts that stop; of what is newer here it knows nothing."""
+        """Apply the other process's draining and gone hosts, if its list is newer than the one here."""
         if host_list.revision > self.revision:
             known_members = tuple(member for member in host_list.members if member.server.id in self.members)
             self._apply(HostList(self.revision, False, known_members), Update.CHANGES, False)
 
     def apply_list(self, host_list: HostList, is_stale: bool = False) -> None:
-        """A list has come: whole, or changes to it; `stale`: the whole one of an earlier process."""
+        """Apply a list, whole or of changes; `is_stale`: a whole list from before this process started."""
         update = Update.STALE if is_stale else Update.FULL if host_list.complete else Update.CHANGES
         self.revision = host_list.revision
         self.share_list(host_list)
--- a/whinrouter/operations/maintenance.py
+++ b/whinrouter/operations/maintenance.py
@@ -1,18 +1,18 @@
-"""Hosts that operators have taken out, over what discovery lists.
+"""Hosts that operators have taken out, on top of what discovery lists.
 
-Theory of operation. Discovery tells lists; this hands each on as the gateway is to have it. A host that is
-out counts as draining, whatever is told of it: that it is ready, that it has gone, that it is back under
-its id. It is out until a call puts it back, however many calls took it out.
+Each list from discovery is passed on in the form that the gateway is to use. A host that is out counts as
+draining whatever is listed of it: that it is ready, that it is gone, that it is back under the same id. It
+stays out until a call puts it back, however many calls took it out.
 
-    in --take_out--> out --put_back--> back (cold) --a start told that lies after the call--> in
+    in --take_out--> out --put_back--> back (cold) --a listed start later than that call--> in
 
-A host is restarted while it is out, so that its return is cold, and discovery may tell of the new start
-late or never. So a host that is back is shown as started at the call that put it back, unless discovery
-tells a start later than that. One call is one restart: the start that discovery then tells, which lies
-before that call, is no second one.
+A host is restarted while it is out, so it is cold on its return, but discovery may list the new start late or
+never. A host that was put back is therefore treated as started at that call, unless discovery lists a later
+start. One call means one restart: a start that discovery lists afterwards and that lies before the call is
+not a second one.
 
-It is told times and does no I/O. Times are microseconds of one monotonic clock, as a server's `started`
-is once `membership/starts.py` has read it; another process is told spans.
+This module is given times and does no I/O. Times are microseconds of one monotonic clock, as is a server's
+`started` once `membership/start_times.py` has converted it; another process is given ages.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 
 from whinrouter.interface import Server, ServerId, State, Update
 
-# Hosts that may be out. More than any fleet has; ids that were known once can't be gathered without end.
+# More than the hosts of any fleet. It bounds the ids kept of hosts that are no longer listed.
 MAX_HOSTS_OUT = 4096
 
 
 class UnknownHostError(Exception):
-    """Nobody has this id."""
+    """No listed host has this id, or the limit on hosts out is reached."""
 
 
 @dataclass(slots=True)
 class Maintenance:
-    """What is out, and what came back; an entry of either leaves with its call or with its host."""
+    """Hosts that are out, and hosts that were put back and whose new start is not listed yet."""
 
-    listed: dict[ServerId, Server] = field(default_factory=dict)  # as discovery has them now
-    taken_out_at: dict[ServerId, int] = field(default_factory=dict)  # when each was taken out
-    put_back_at: dict[ServerId, int] = field(default_factory=dict)  # when each was put back
+    listed: dict[ServerId, Server] = field(default_factory=dict)  # the latest state from discovery
+    taken_out_at: dict[ServerId, int] = field(default_factory=dict)  # times at which hosts were taken out
+    put_back_at: dict[ServerId, int] = field(default_factory=dict)  # times at which hosts were put back
 
     def apply(self, update: Update, servers: tuple[Server, ...]) -> tuple[Server, ...]:
-        """What discovery tells, as the gateway is to have it."""
+        """Apply a list or changes from discovery; return the servers as the gateway is to use them."""
         if update is not Update.CHANGES:
             self.listed = {}
         for server in servers:
@@ -48,9 +48,7 @@
             else:
                 self.listed[server.id] = server
         for server_id in [server_id for server_id in self.put_back_at if server_id not in self.listed]:
-            del self.put_back_at[
-                server_id
-            ]  # it has left: whoever comes under its id tells a start of its own
+            del self.put_back_at[server_id]  # it has left; a host that returns under its id has a new start
         return tuple(self._effective_server(server) for server in servers)
 
     def _effective_server(self, server: Server) -> Server:
@@ -65,7 +63,7 @@
         return replace(server, started_at=put_back_at)
 
     def take_out(self, server_id: ServerId, now: int) -> tuple[Server, ...]:
-        """The changes for the gateway; none if it was out. NoSuchHostError if nobody has this id."""
+        """Return the changed servers, none if it was out already; UnknownHostError if the id is unknown."""
         if server_id in self.taken_out_at:
             return ()
         server = self.listed.get(server_id)
@@ -76,7 +74,7 @@
         return (self._effective_server(server),)
 
     def put_back(self, server_id: ServerId, now: int) -> tuple[Server, ...]:
-        """The changes for the gateway; none if it was not out, or is not listed."""
+        """Return the changed servers, none if it was not out or is not listed; UnknownHostError as above."""
         server = self.listed.get(server_id)
         if server_id not in self.taken_out_at:
             if server is None:
@@ -89,12 +87,12 @@
         return (self._effective_server(server),)
 
     def ages(self, now: int) -> tuple[dict[ServerId, int], dict[ServerId, int]]:
-        """How long ago hosts were taken out, and put back: what another process goes on from."""
+        """Return how long ago hosts were taken out and put back, in microseconds, for another process."""
         out_ages = {server_id: now - changed_at for server_id, changed_at in self.taken_out_at.items()}
         back_ages = {server_id: now - changed_at for server_id, changed_at in self.put_back_at.items()}
         return out_ages, back_ages
 
     def restore(self, out_ages: Mapping[ServerId, int], back_ages: Mapping[ServerId, int], now: int) -> None:
-        """Go on with what another process of this gateway has, told as ages."""
+        """Take over the state of another process of this gateway, given as ages."""
         self.taken_out_at = {server_id: now - age for server_id, age in out_ages.items()}
         self.put_back_at = {server_id: now - age for server_id, age in back_ages.items()}
--- a/whinrouter/operations/presence.py
+++ b/whinrouter/operations/presence.py
@@ -1,42 +1,45 @@
-"""Whether clients are to come to this gateway, and when those that are here are to go.
+"""Whether clients are sent to this gateway, and when idle connections and late requests are to end.
 
-Theory of operation. An operator's LEAVE, a SIGTERM and the end of a process that another replaces are one
-thing: the front is told no, answers end their connections, and who is idle is closed. They differ in what
-follows: after LEAVE the process runs on, and JOIN takes it back.
+The front distributes clients among the gateways. An operator's LEAVE, a SIGTERM and the end of a process that
+another one replaces have the same first steps: the front is answered that the gateway is not up, answers
+close their connections, and idle connections are closed. They differ in what follows: after LEAVE the process
+runs on, and JOIN returns it to service.
 
     SERVING --leave--> LEAVING --join--> SERVING        either --stop--> STOPPING
 
-A connection that is closed while a request crosses costs its client another try. One that has just been in
-use is the likeliest to be used again, and then ends with its answer, for nothing. So the rest after which
-an idle one is closed shrinks with time, from `PATIENT` to `LEAST_REST`; a connection that is new needs that
-much to ask at all. Times are seconds of one clock; it reads none.
+Closing a connection while a request is on its way costs the client a retry. A connection that was used just
+now is the likeliest to be used again, and then ends with its answer at no cost. So the idle time after which
+a connection is closed shrinks from `INITIAL_IDLE_SECONDS` to `MIN_IDLE_SECONDS`; a new connection needs that
+much for its first request. Times are seconds of one clock; this module reads none.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-# The front asks ten times a second and stops 0.2 s after a no; by then few connections are dealt to us any
-# more, and closing an idle one does not bring it back. All idle ones are gone after this and LEAST_REST,
-# which is before a platform that gives a process the shortest deadlines and 0.7 s ends it.
+# The front asks ten times a second and stops sending clients 0.2 s after a negative answer. By then few new
+# connections arrive, and closing an idle one does not make its client return here. All idle connections are
+# closed after this plus MIN_IDLE_SECONDS, which is before a platform that allows a process the shortest
+# deadlines and 0.7 s ends it.
 INITIAL_IDLE_SECONDS = 1.2
-MIN_IDLE_SECONDS = 0.25  # seconds that a new connection has for its first request
-# A platform ends a process no sooner than this and the longest deadline after SIGTERM, and counts as the
-# longest one at most so much. What comes after the first of these, as its first bytes were here before, has
-# to be answered by then; what came before has its own time.
+MIN_IDLE_SECONDS = 0.25  # what a new connection has for its first request
+# A platform kills a process no sooner than the first of these plus the longest deadline after SIGTERM, and
+# counts at most the second as the longest deadline. A request that arrives whole later than the first,
+# because its first bytes had arrived before, has to be answered by then. One that arrived earlier has its own
+# deadline.
 KILL_DELAY_SECONDS, MAX_COUNTED_DEADLINE_SECONDS = 0.7, 3.0
-# Seconds before that end by which each client has its answer, or a refusal of what still comes: its way to
-# the client, a loop that runs late, and a client that still sends, which reads the answer before its
+# Before that end each client has its answer, or a refusal of the request it is still sending. This covers the
+# way to the client, event loop lag, and a client that is still sending and has to read the answer before its
 # connection is reset.
 LAST_ANSWER_MARGIN_SECONDS = 0.4
 
 
 class Stage(Enum):
-    """What the front is told."""
+    """What the front is answered."""
 
     SERVING = "serving"
-    LEAVING = "leaving"  # an operator's wish
-    STOPPING = "stopping"  # for good
+    LEAVING = "leaving"  # by an operator's call
+    STOPPING = "stopping"  # the process ends
 
 
 class Presence:
@@ -52,26 +55,26 @@
         return self.stage is Stage.SERVING
 
     def leave(self, now: float) -> None:
-        """An operator empties the gateway."""
+        """Drain the gateway by an operator's call; it has no effect while the process stops."""
         if self.stage is Stage.SERVING:
             self.stage, self._since = Stage.LEAVING, now
 
     def join(self) -> bool:
-        """Clients may come again; False if the process is ending."""
+        """Return to service; False if the process is ending."""
         if self.stage is Stage.LEAVING:
             self.stage = Stage.SERVING
         return self.stage is Stage.SERVING
 
     def stop(self, now: float) -> None:
-        """The process ends."""
+        """Drain the gateway for good, as the process ends."""
         if self.stage is Stage.SERVING:
             self._since = now
         self.stage = Stage.STOPPING
 
     def time_left(self, now: float, longest_deadline: float) -> float | None:
-        """Seconds within which a request that comes now is to be answered; None: within its own time.
+        """Return the seconds left to answer a request that arrives now; None: only its own deadline counts.
 
-        `longest`: the longest that any has.
+        `longest_deadline`: the longest of all classes, in seconds.
         """
         if self.stage is not Stage.STOPPING or now <= self._since + KILL_DELAY_SECONDS:
             return None
@@ -80,9 +83,9 @@
         )
 
     def answer_deadline(self, longest_deadline: float) -> float | None:
-        """The moment by which what came after the signal, or still comes, has its answer; None: none is set.
+        """Return the time by which requests that arrive after the signal are answered; None: not set.
 
-        `longest`: the longest time that any request has, by the settings in force.
+        `longest_deadline`: the longest of all classes, in seconds, by the settings in force.
         """
         if self.stage is not Stage.STOPPING:
             return None
@@ -94,7 +97,7 @@
         )
 
     def idle_timeout(self, now: float) -> float | None:
-        """Seconds that a connection may be idle; None: as long as at other times."""
+        """Return the seconds that a connection may be idle; None: as long as usual."""
         if self.stage is Stage.SERVING:
             return None
         return max(MIN_IDLE_SECONDS, INITIAL_IDLE_SECONDS - (now - self._since))
--- a/whinrouter/operations/reload_checks.py
+++ b/whinrouter/operations/reload_checks.py
@@ -1,9 +1,9 @@
-"""Whether new settings may take the place of those in force: as a whole or not at all. No I/O.
+"""Whether a new configuration may replace the one in force: as a whole or not at all. No I/O.
 
-A file that is read while it is written, or that somebody has cut short, often is a file all the same: it
-lacks a part. So each key that the file in force has must stand in the new one, with a value of the same
-kind; what every entry of a list of objects has, every new entry must have. What must be above 0 is looked
-at by name. All that is wrong is found at once.
+A file that is read while it is written, or that was truncated, may still be valid JSON that lacks a part. So
+each key of the configuration in force has to be in the new one, with a value of the same type, and each entry
+of a list of objects has to have the keys that all old entries share. Values that have to be above 0 are
+listed by name. All findings are returned at once.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-# Lists that are data of their own, read by their own readers.
+# Parts that are validated where they are read.
 _SKIPPED_KEYS = ("known",)
-# Counts and times of the settings that mean nothing unless they are above 0, whatever was in force.
+# Counts and times of the settings that have to be above 0, whatever was in force.
 _POSITIVE_KEYS = {"classes": ("giveUp", "onTime"), "permissions": ("maxAttempts",)}
 
 
 def findings(new: object, in_force: Mapping[str, Any]) -> list[str]:
-    """All that is wrong with a new configuration, each with its key; none if it may be taken."""
+    """Return all faults of a new configuration, each with its key; none if it may be applied."""
     if not isinstance(new, Mapping):
         return ["it holds no object"]
     return [*_check_shape("", new, in_force), *_check_settings(new.get("settings"))]
 
 
 def _check_shape(path: str, new: object, old: object) -> Iterator[str]:
-    """What the old one has and the new one lacks, or has as something else."""
+    """Yield what the old value has and the new one lacks or has as another type."""
     if isinstance(old, Mapping):
         if not isinstance(new, Mapping):
             yield f"{path or 'it'} is no object"
@@ -56,13 +56,13 @@
 
 
 def _kind(value: object) -> type:
-    """The kind of a value; whole numbers and others are one."""
+    """Return the type of a value; int and float count as one."""
     return float if type(value) is int else type(value)
 
 
 def _check_settings(settings: object) -> Iterator[str]:
     if not isinstance(settings, Mapping):
-        return  # told already, or it is read as what it is
+        return  # already reported by `_check_shape`, or validated where it is read
     classes = settings.get("classes")
     if isinstance(classes, list):
         yield from _check_classes(classes)
--- a/whinrouter/operator/__init__.py
+++ b/whinrouter/operator/__init__.py
@@ -1,7 +1,8 @@
-"""The operator file: what other installations set, as typed sections, and the checks of it.
+"""Operator files: the configuration of gateways that run as sidecars, as typed sections with checks.
 
-It knows nothing of the gateway, so that the tool starts fast: `load` reads a file with all that it includes,
-`check` gives all findings at once, and `Loaded.model` is what a sidecar runs from.
+The package does not import the gateway, so that the command line starts fast. `load` reads a file with its
+includes and reports errors of syntax and types; `checks.check` returns all findings at once; a sidecar runs
+from `Loaded.model`.
 """
 
 from whinrouter.operator.findings import Finding
--- a/whinrouter/operator/cli.py
+++ b/whinrouter/operator/cli.py
@@ -1,6 +1,6 @@
-"""`copperlead`: runs a sidecar, and writes, checks, explains and compares configurations.
+"""The command `copperlead`: runs a sidecar, and writes, checks, explains and compares configurations.
 
-It imports the gateway only to run it.
+It imports the gateway only for the commands that need it, so that the others start fast.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Return 0; 1 if something is wrong with a configuration; 2 if it was called wrongly."""
-    args = _parser().parse_args(arguments)  # argparse leaves with 2 by itself
+    """Run a command; return 0, 1 if a configuration has findings, or 2 if the command was called wrongly."""
+    args = _parser().parse_args(arguments)  # on errors argparse itself exits with 2
     try:
         return int(args.handler(args))
     except (FileNotFoundError, NotADirectoryError, PermissionError) as error:
@@ -39,9 +39,9 @@
     commands = parser.add_subparsers(required=True)
     run = commands.add_parser("run", help="run a sidecar")
     run.add_argument("--operator", type=Path, required=True, metavar="FILE")
-    run.add_argument("--digest", help="run only what `check` showed this digest of")
+    run.add_argument("--digest", help="run only if the files still have this digest, as shown by `check`")
     run.set_defaults(handler=_run)
-    ctl = commands.add_parser("ctl", help="a call to a running gateway: HEALTH, OFFLINE ID, ...")
+    ctl = commands.add_parser("ctl", help="call a running gateway: HEALTH, OFFLINE ID, ...")
     ctl.add_argument("address", type=Address.parse, metavar="HOST:PORT")
     ctl.add_argument("call", nargs="+", metavar="CALL")
     ctl.add_argument("--json", action="store_true")
@@ -49,20 +49,20 @@
     sidecar = commands.add_parser("sidecar", help="write and check configurations").add_subparsers(
         required=True
     )
-    command = sidecar.add_parser("check", help="all that is wrong with files, or with a whole host's folder")
+    command = sidecar.add_parser("check", help="report all findings on files, or on the folder of a machine")
     command.add_argument("paths", nargs="+", type=Path, metavar="PATH")
     command.add_argument("--json", action="store_true")
     command.set_defaults(handler=_check)
-    command = sidecar.add_parser("write", help="a configuration from an application's description")
+    command = sidecar.add_parser("write", help="write a configuration from an application's description")
     command.add_argument("description", type=Path, metavar="APP.toml")
     command.add_argument("--host-dir", type=Path, default=Path())
     command.add_argument("--dry-run", action="store_true", help="show what would change")
     command.set_defaults(handler=_write)
-    command = sidecar.add_parser("explain", help="each value in force and where it came from")
+    command = sidecar.add_parser("explain", help="show each value in force and its origin")
     command.add_argument("file", type=Path)
     command.add_argument("key", nargs="?", default="")
     command.set_defaults(handler=_explain)
-    command = sidecar.add_parser("diff", help="what changes in behaviour, and what needs a restart")
+    command = sidecar.add_parser("diff", help="show what changes in behaviour, and what needs a restart")
     command.add_argument("old", type=Path)
     command.add_argument("new", type=Path)
     command.set_defaults(handler=_diff)
@@ -70,13 +70,13 @@
 
 
 def _run(args: argparse.Namespace) -> int:
-    from whinrouter.sidecar import run  # noqa: PLC0415 - the tool does without the gateway
+    from whinrouter.sidecar import run  # noqa: PLC0415 - the other commands do not need the gateway
 
     return run(args.operator, args.digest)
 
 
 def _ctl(args: argparse.Namespace) -> int:
-    from whinrouter.control.ctl import main as run_ctl  # noqa: PLC0415 - files are checked without it
+    from whinrouter.control.ctl import main as run_ctl  # noqa: PLC0415 - the other commands do not need it
 
     return run_ctl((args.address.host, args.address.port), args.call, args.json)
 
@@ -111,7 +111,7 @@
     if description is None or findings:
         return _report_not_written(findings)
     if not args.host_dir.is_dir():
-        print(f"copperlead: {args.host_dir} is no folder", file=sys.stderr)
+        print(f"copperlead: {args.host_dir} is not a folder", file=sys.stderr)
         return EXIT_USAGE
     plan = plan_files(description, args.host_dir)
     if args.dry_run:
@@ -132,7 +132,7 @@
 
 
 def _load_and_report(path: Path) -> Loaded:
-    """A configuration that can be explained; what is wrong with it is told beside."""
+    """Load a configuration that is to be explained; its findings go to stderr."""
     loaded = load(path)
     for finding in check(loaded):
         print(finding, file=sys.stderr)
--- a/whinrouter/operator/decode.py
+++ b/whinrouter/operator/decode.py
@@ -1,4 +1,4 @@
-"""From decoded TOML to typed sections, with all that is wrong told at once."""
+"""Conversion of decoded TOML to typed sections; all problems are reported at once."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 
 
 def parse_custom_type(target_type: type, value: Any) -> Any:
-    """The decoder's hook for types that it does not know; they read themselves."""
+    """Convert a value to a type that msgspec does not know (its `dec_hook`), by that type's `parse`."""
     parse = getattr(target_type, "parse", None)
     if parse is None:
-        raise NotImplementedError(f"no type {target_type!r} in a model")
+        raise NotImplementedError(f"the model's type {target_type!r} cannot be decoded")
     return parse(value)
 
 
 def decode(
     struct_type: type[Any], raw: Any, locate: Locator, path: KeyPath = ()
 ) -> tuple[Any, list[Finding]]:
-    """A section of this type, and what is wrong with what was told.
+    """Return a section of this type, and the findings on its raw values.
 
-    What is wrong keeps its default, so that the rest can be checked too; a model that comes with findings is
-    never run.
+    A value that is wrong keeps its default, so that the other checks can run too; a model that comes with
+    findings is never run. The section is None if a required key is missing or wrong. `locate` returns where a
+    key is set.
     """
     if not isinstance(raw, Mapping):
         return struct_type(), [
-            _finding(locate, path, "type", "This is no table.", "Write it as [section] with keys.")
+            _finding(locate, path, "type", "This is not a table.", "Write it as [section] with keys.")
         ]
     fields = {field.encode_name: field for field in msgspec.structs.fields(struct_type)}
     findings = [_unknown_key(locate, (*path, key), fields) for key in raw if key not in fields]
@@ -46,7 +47,7 @@
             continue
         value, problems = _decode_value(field.type, raw[name], locate, (*path, name))
         findings += problems
-        if value is not None:  # a section keeps what is right in it
+        if value is not None:  # a nested section with findings is kept with its correct values
             values[field.name] = value
     if any(field.required and field.name not in values for field in fields.values()):
         return None, findings
@@ -60,7 +61,9 @@
     if element_type is not None:
         return _decode_list(element_type, raw, locate, path)
     if isinstance(raw, float) and not math.isfinite(raw):
-        return None, [_finding(locate, path, "number", "This is no finite number.", "Write a plain number.")]
+        return None, [
+            _finding(locate, path, "number", "This is not a finite number.", "Write a finite number.")
+        ]
     try:
         return msgspec.convert(raw, target_type, strict=True, dec_hook=parse_custom_type), []
     except msgspec.ValidationError as error:
@@ -70,6 +73,7 @@
 
 
 def _struct_element_type(target_type: Any) -> type[Any] | None:
+    """Return the element type of a list of Structs; None for any other type."""
     (element,) = get_args(target_type) if get_origin(target_type) is list else (None,)
     return element if isinstance(element, type) and issubclass(element, msgspec.Struct) else None
 
@@ -79,7 +83,7 @@
 ) -> tuple[Any, list[Finding]]:
     if not isinstance(raw, list):
         todo = f"Write it as [[{path[-1]}]]."
-        return None, [_finding(locate, path, "type", "This is no list of tables.", todo)]
+        return None, [_finding(locate, path, "type", "This is not a list of tables.", todo)]
     values, findings = [], []
     for index, entry in enumerate(raw):
         value, problems = decode(element_type, entry, locate, (*path, index))
@@ -105,6 +109,7 @@
 
 
 def _as_sentence(message: str) -> str:
+    """Return a message of msgspec as a sentence, without the path that msgspec appends."""
     message = message.split(" - at `$", 1)[0].rstrip(".")
     return message[:1].upper() + message[1:] + "."
 
@@ -116,7 +121,7 @@
 
 
 def format_key_path(path: KeyPath) -> str:
-    """A key path as people write it: "class[2].effect"."""
+    """Return a key path in the form that findings show, such as "class[2].effect"."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else str(part)
--- a/whinrouter/operator/explain.py
+++ b/whinrouter/operator/explain.py
@@ -1,4 +1,4 @@
-"""What is in force, where it came from, and what a change of it changes."""
+"""The values in force with their origin, and the differences between two configurations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from whinrouter.operator.loading import Loaded, Setting
 from whinrouter.operator.model import RequestClass
 
-# What a running sidecar takes over when it reads its file again; all else waits for the next start.
+# Keys that a running sidecar applies when it reloads its file; a change of any other key needs a restart.
 RELOADABLE_KEYS = (
     "discovery.hosts",
     "discovery.file",
@@ -40,7 +40,7 @@
 
 
 def effective_values(loaded: Loaded) -> list[EffectiveValue]:
-    """All values in force, in the order of the model."""
+    """Return all values in force, in the order of the model."""
     return list(_section_values(loaded, loaded.model, (), ""))
 
 
@@ -50,7 +50,7 @@
     for field in msgspec.structs.fields(section):
         name = field.encode_name
         if not path and name == "class_defaults":
-            continue  # they are in each class
+            continue  # loading has applied them to each class
         value = getattr(section, field.name)
         field_path, field_key = (*path, name), f"{key}.{name}" if key else name
         if isinstance(value, msgspec.Struct):
@@ -67,14 +67,14 @@
 
 
 def _resolve_default(section: Any, name: str, value: Any) -> Any:
-    """What a class means where it says nothing."""
+    """Return the value that an empty `path` or `methods` of a class stands for; any other value as it is."""
     if isinstance(section, RequestClass) and name in ("path", "methods"):
         return effective_path(section) if name == "path" else effective_methods(section)
     return value
 
 
 def format_value(value: Any) -> str:
-    """A value as it would be written in a file."""
+    """Return a value as it would be written in a TOML file."""
     if isinstance(value, Enum):
         return f'"{value.value}"'
     if isinstance(value, bool):
@@ -87,6 +87,7 @@
 
 
 def _origin(loaded: Loaded, path: tuple[str | int, ...]) -> str:
+    """Return the file and line that set a key, or "default" if none does."""
     node: Any = loaded.tree
     for part in path:
         try:
@@ -101,8 +102,8 @@
     """One value that differs between two configurations."""
 
     key: str
-    old: str | None  # None: it was not there
-    new: str | None
+    old: str | None  # None: the old configuration does not have the key
+    new: str | None  # None: the new configuration does not have the key
     needs_restart: bool
 
     def __str__(self) -> str:
@@ -111,12 +112,12 @@
 
 
 def is_reloadable(key: str) -> bool:
-    """Whether a sidecar takes another value of it while it runs, on SIGHUP."""
+    """Return whether a running sidecar applies a change of this key on SIGHUP."""
     return key in RELOADABLE_KEYS or key.startswith(RELOADABLE_PREFIXES)
 
 
 def changes(old: Loaded, new: Loaded) -> list[Change]:
-    """What differs in behaviour; how it is spread over files does not count."""
+    """Return the values in force that differ; how settings are distributed over files makes no difference."""
     before = {entry.key: entry.value for entry in effective_values(old)}
     after = {entry.key: entry.value for entry in effective_values(new)}
     keys = [*before, *(key for key in after if key not in before)]
--- a/whinrouter/operator/host.py
+++ b/whinrouter/operator/host.py
@@ -1,4 +1,8 @@
-"""All sidecars of one host together: what no file shows alone."""
+"""Checks of all sidecars of one machine together: conflicts that no single file shows.
+
+The machine is the "host" of `check_host` and of the command line's `--host-dir`; elsewhere a host is a server
+that a sidecar sends to.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +15,15 @@
 from whinrouter.operator.loading import CATALOGUE_FILE, Loaded, load
 from whinrouter.operator.values import Address, overlap
 
-LOCAL_SUFFIX = ".local.toml"  # a team's own edits: never a configuration by themselves
-MAX_TOML_FILES = 10_000  # files below one folder; a host has some hundred
+LOCAL_SUFFIX = ".local.toml"  # a team's own settings: never a configuration by themselves
+MAX_TOML_FILES = 10_000  # below one folder; a machine has some hundred
 
 
 def load_configurations(folder: Path) -> tuple[list[Loaded], list[Finding]]:
-    """What no other file below a folder includes: its configurations; and what is wrong with the folder."""
+    """Load the configurations below a folder: the files that no other one includes.
+
+    Returns them sorted by real path, and the findings on the folder itself.
+    """
     paths, findings = _toml_files(folder)
     loaded_by_path: dict[str, Loaded] = {}  # by real path
     for path in paths:
@@ -33,7 +40,8 @@
     }
     included |= {real_path for real_path in loaded_by_path if real_path.endswith(LOCAL_SUFFIX)}
     top_files = [real_path for real_path in loaded_by_path if real_path not in included]
-    # Files that include each other in a ring are in no top's reach, and would go unseen.
+    # Files that include each other in a cycle are reached from no top file; one of each cycle is added, so
+    # that the cycle is reported.
     reached = {real_path for top_file in top_files for real_path in loaded_by_path[top_file].referenced}
     for real_path, loaded in loaded_by_path.items():
         if real_path not in reached and not real_path.endswith(LOCAL_SUFFIX):
@@ -50,7 +58,7 @@
         if len(paths) > MAX_TOML_FILES:
             reason = f"There are more than {MAX_TOML_FILES} files below it."
             return paths[:MAX_TOML_FILES], [
-                Finding(Location(str(folder)), "", "too-many", reason, "Name a host's folder.")
+                Finding(Location(str(folder)), "", "too-many", reason, "Name the folder of one machine.")
             ]
     return paths, []
 
@@ -58,12 +66,12 @@
 def _check_stray_catalogue(path: Path, root: str) -> list[Finding]:
     if os.path.realpath(path.parent) == os.path.realpath(root):
         return []
-    reason = f"Only the catalogue in {root} counts; this one declares nothing."
-    return [Finding(Location(str(path)), "", "stray-catalogue", reason, "Take it out.")]
+    reason = f"Only the catalogue in {root} is used; this one declares nothing."
+    return [Finding(Location(str(path)), "", "stray-catalogue", reason, "Remove it.")]
 
 
 def check_host(configurations: Iterable[Loaded]) -> list[Finding]:
-    """All findings on each of them and on all together."""
+    """Return all findings on the configurations of one machine, on each by itself and on all together."""
     configurations = list(configurations)
     findings = {finding for loaded in configurations for finding in check(loaded)}
     return sorted(findings | set(_check_together(configurations)))
@@ -72,7 +80,7 @@
 def _check_together(configurations: list[Loaded]) -> list[Finding]:
     addresses = [(loaded, _resolve_links(loaded.model.listen.address)) for loaded in configurations]
     listening = [(loaded, address) for loaded, address in addresses if address is not None]
-    by_port: dict[int | str, list[tuple[Loaded, Address]]] = {}
+    by_port: dict[int | str, list[tuple[Loaded, Address]]] = {}  # by port or socket path
     for loaded, address in listening:
         by_port.setdefault(address.path or address.port, []).append((loaded, address))
     control_findings = _check_control_addresses(configurations, by_port)
@@ -88,7 +96,7 @@
 def _check_control_addresses(
     configurations: list[Loaded], by_port: Mapping[int | str, list[tuple[Loaded, Address]]]
 ) -> list[Finding]:
-    """Addresses for calls that another sidecar takes, for calls or for its application."""
+    """Find control addresses that another sidecar uses too, as its control address or for its application."""
     findings = []
     seen: dict[int, list[tuple[Loaded, Address]]] = {}
     for loaded in configurations:
@@ -100,18 +108,15 @@
             (other for other, claimed in claims if other is not loaded and overlap(claimed, address)), None
         )
         if first is not None:
-            location, reason = (
-                loaded.locate(("listen", "control")),
-                f"{address} is claimed by {first.path} too.",
-            )
-            todo = "Give each its own."
+            location, reason = loaded.locate(("listen", "control")), f"{address} is used by {first.path} too."
+            todo = "Give each sidecar its own."
             findings.append(Finding(location, "listen.control", "same-port", reason, todo))
         seen.setdefault(address.port, []).append((loaded, address))
     return findings
 
 
 def _resolve_links(address: Address | None) -> Address | None:
-    """The address with a socket's folder as it really is; the socket itself may be a link too."""
+    """Return a Unix socket's address with symbolic links resolved; any other address as it is."""
     return Address(path=os.path.realpath(address.path)) if address and address.path else address
 
 
@@ -123,11 +128,11 @@
     findings = []
     for claims in by_port.values():
         for index, (loaded, address) in enumerate(claims):
-            # One earlier claim is enough to name; all pairs of a crowd would be a square of it.
+            # Only the first earlier claim is reported: all pairs would grow quadratically with the sidecars.
             first = next((other for other, claimed in claims[:index] if overlap(claimed, address)), None)
             if first is not None:
                 location = first.locate(("listen", "address"))
-                reason = f"{address} is claimed by {location} too, where it is {first.model.listen.address}."
+                reason = f"{address} is used by {location} too, where it is {first.model.listen.address}."
                 findings.append(_listen_finding(loaded, "same-port", reason, "Give each sidecar its own."))
     return findings
 
@@ -139,7 +144,7 @@
     for loaded in configurations:
         for port in loaded.model.app.ports:
             for other, _ in by_port.get(port, ()):
-                if other is not loaded:  # its own is said in the check of one file
+                if other is not loaded:  # its own ports are checked in `check_listen`
                     reason = f"Port {port} belongs to the application of {loaded.path}."
                     findings.append(_listen_finding(other, "app-port", reason, "Choose another."))
     return findings
@@ -151,7 +156,7 @@
     for loaded in configurations:
         name = loaded.model.app.name
         if name and name in seen:
-            reason = f"The application {name!r} has a sidecar already, by {seen[name].path}."
+            reason = f"The application {name!r} already has a sidecar, configured in {seen[name].path}."
             location = loaded.locate(("app", "name"))
             findings.append(Finding(location, "app.name", "same-app", reason, "Give each its own name."))
         elif name:
@@ -162,7 +167,7 @@
 def _check_loops(
     by_port: Mapping[int | str, list[tuple[Loaded, Address]]], listening: list[tuple[Loaded, Address]]
 ) -> list[Finding]:
-    """Sidecars that send to each other, in a ring of any length."""
+    """Find sidecars that have each other among their hosts, in a cycle of any length."""
     index_by_id = {id(loaded): index for index, (loaded, _) in enumerate(listening)}
     edges = [
         sorted(
@@ -181,16 +186,21 @@
         names = ", ".join(listening[index][0].path for index in component)
         for index in component:
             loaded = listening[index][0]
-            reason = f"These sidecars send to each other, and a request may go round for ever: {names}."
+            reason = f"These sidecars send to each other, and a request may circulate endlessly: {names}."
             location = loaded.locate(("discovery", "hosts"))
             findings.append(
-                Finding(location, "discovery.hosts", "loop", reason, "Take the sidecars out of the hosts.")
+                Finding(
+                    location, "discovery.hosts", "loop", reason, "Remove the sidecars from the list of hosts."
+                )
             )
     return findings
 
 
 def _strongly_connected_components(edges: list[list[int]]) -> list[list[int]]:
-    """The strongly connected parts of more than one (Kosaraju's two passes, without recursion)."""
+    """Return the components with more than one node, by Kosaraju's two passes without recursion.
+
+    `edges` holds the successors of each node.
+    """
     finish_order: list[int] = []
     visited: set[int] = set()
     for start in range(len(edges)):
--- a/whinrouter/operator/loading.py
+++ b/whinrouter/operator/loading.py
@@ -1,7 +1,8 @@
-"""A file with all that it includes, read once: what is checked is what runs.
+"""Reads an operator file with all that it includes, each file once: what is checked is what runs.
 
-The rule of precedence: a file goes before what it includes, and of its includes the later before the earlier.
+Precedence: a file overrides what it includes, and of its includes a later one overrides an earlier one.
 Tables are merged key by key and `[[class]]` entries by their names; any other list is replaced as a whole.
+The merged tree keeps the file and line of each value.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 from whinrouter.operator.model import Catalogue, Model
 from whinrouter.operator.toml_lines import KeyPath, key_lines
 
-MAX_FILE_BYTES = 1024 * 1024  # of one file: a hundred times what anyone writes
-MAX_FILES = 64  # that one configuration includes, itself counted
-MAX_INCLUDE_DEPTH = 8  # of includes within includes
-MAX_NESTING = 16  # of tables and lists; decoding recurses
+MAX_FILE_BYTES = 1024 * 1024  # about a hundred times the size of a real file
+MAX_FILES = 64  # of one configuration, the top file included
+MAX_INCLUDE_DEPTH = 8
+MAX_NESTING = 16  # of tables and lists; decoding is recursive
 CATALOGUE_FILE = "catalogue.toml"  # in the configuration root
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """A value and where it stands; tables hold settings in turn."""
+    """A value and the location that sets it; tables contain further settings."""
 
     value: Any
     location: Location
@@ -48,13 +49,13 @@
     catalogue: Catalogue | None = None
     findings: list[Finding] = field(default_factory=list)
     tree: Tree = field(default_factory=dict)
-    files: dict[str, bytes] = field(default_factory=dict)  # each that was read, in the order of reading
-    referenced: set[str] = field(default_factory=set)  # the real paths of all that were to be read
-    is_complete: bool = True  # all that it includes could be read; else what is missing says nothing
+    files: dict[str, bytes] = field(default_factory=dict)  # contents by path, in the order of reading
+    referenced: set[str] = field(default_factory=set)  # real paths of the file and its includes, read or not
+    is_complete: bool = True  # False: something could not be read, so an absent key may be set there
 
     @property
     def digest(self) -> str:
-        """Of all that was read; two of the same digest run the same."""
+        """SHA-256 of the names and contents of all files read; configurations of one digest behave alike."""
         digest = hashlib.sha256()
         for name in sorted(self.files):
             data = self.files[name]
@@ -62,7 +63,7 @@
         return digest.hexdigest()
 
     def locate(self, path: KeyPath) -> Location:
-        """Where a key of the merged tree stands, or the nearest table above it that stands anywhere."""
+        """Return where a key of the merged tree is set; if nowhere, where the nearest table above it is."""
         node: Any = self.tree
         location = Location(self.path)
         for part in path:
@@ -87,45 +88,57 @@
 
 
 CLASS_DEFAULTS = "class_defaults"
-_NOT_INHERITED = frozenset(("name", "path", "like"))  # what a class has from nobody
-_HEADER_KEY = "\0"  # where a table's own line is kept among its keys; no key of a file has this name
+_NOT_INHERITED = frozenset(("name", "path", "like"))  # keys that a class gets from no other class or default
+_HEADER_KEY = "\0"  # holds the location of a table's header; no key of a file has this name
 
 
-# Findings of the reading after which all of the configuration is there all the same.
+# Findings of loading after which the configuration is complete nevertheless.
 _COMPLETE_DESPITE = frozenset(("double-class", "include-cycle", "like-cycle", "like-unknown"))
 
 
 class _Loader:
+    """Reads one configuration into `loaded`."""
+
     def __init__(self, path: Path, root: Path, replacements: Mapping[str, bytes]) -> None:
         self.root = root
         self._replacements = replacements
         self.loaded = Loaded(str(path), str(root))
-        self._tree_by_file: dict[str, Tree] = {}
+        self._tree_by_file: dict[str, Tree] = {}  # by real path; a file that is included twice is read once
 
     def add_finding(self, location: Location, key: str, code: str, reason: str, todo: str) -> None:
+        """Record a finding; most of them mean that the configuration is not complete."""
         self.loaded.is_complete = self.loaded.is_complete and code in _COMPLETE_DESPITE
         self.loaded.findings.append(Finding(location, key, code, reason, todo))
 
     def read(self, path: Path, location: Location, chain: tuple[str, ...]) -> Tree:
-        """The settings of a file with those of what it includes; `place` is where it was named."""
+        """Return the settings of a file merged over those of its includes.
+
+        `location` is where the file was included; `chain` holds the real paths of the files that led to it.
+        """
         real_path = os.path.realpath(path)
         self.loaded.referenced.add(real_path)
         if real_path in chain:
             names = " -> ".join(Path(name).name for name in (*chain[chain.index(real_path) :], real_path))
             self.add_finding(
-                location, "include", "include-cycle", f"The files include each other: {names}.", "Break it."
+                location,
+                "include",
+                "include-cycle",
+                f"The files include each other: {names}.",
+                "Remove one of these includes.",
             )
             return {}
         if real_path in self._tree_by_file:
             return self._tree_by_file[real_path]
         if not _is_within(real_path, self.root):
-            reason = f"{path} leads out of the configuration root {self.root}."
+            reason = f"{path} is outside the configuration root {self.root}."
             self.add_finding(location, "include", "outside-root", reason, "Keep all files under the root.")
             return {}
         if len(chain) >= MAX_INCLUDE_DEPTH or len(self.loaded.files) >= MAX_FILES:
-            reason = f"Includes go deeper than {MAX_INCLUDE_DEPTH} files or name more than {MAX_FILES}."
+            reason = (
+                f"Includes are nested deeper than {MAX_INCLUDE_DEPTH} files, or more than {MAX_FILES} in all."
+            )
             self.add_finding(
-                location, "include", "include-depth", reason, "Include fewer files, less deeply."
+                location, "include", "include-depth", reason, "Include fewer files, or nest them less deeply."
             )
             return {}
         decoded = self.decode_file(path, real_path, location)
@@ -138,12 +151,14 @@
     def decode_file(
         self, path: Path, real_path: str, location: Location
     ) -> tuple[dict[str, Any], dict[KeyPath, int]] | None:
+        """Return the values of one file and the lines of its keys; None if it cannot be read or decoded."""
         try:
             data = (
                 self._replacements[real_path] if real_path in self._replacements else read_bounded(real_path)
             )
             text = decode_text(data)
         except _UnreadableError as error:
+            # A file that is missing is reported where it is included, any other error in the file itself.
             error_location = (
                 location if error.code == "unreadable" and location.line else Location(str(path), error.line)
             )
@@ -155,11 +170,13 @@
         except (tomllib.TOMLDecodeError, RecursionError, ValueError) as error:
             line = _error_line(str(error), text)
             reason = f"This is not TOML: {str(error).split(' (at ')[0]}."
-            self.add_finding(Location(str(path), line), "", "syntax", reason, "Mend the line.")
+            self.add_finding(Location(str(path), line), "", "syntax", reason, "Correct the line.")
             return None
         if _nesting_depth(values) > MAX_NESTING:
             reason = f"Tables or lists are nested more than {MAX_NESTING} deep."
-            self.add_finding(Location(str(path)), "", "nesting", reason, "No key needs that.")
+            self.add_finding(
+                Location(str(path)), "", "nesting", reason, "Remove levels; no key needs so many."
+            )
             return None
         return values, key_lines(text)
 
@@ -171,7 +188,11 @@
         if not isinstance(includes, list) or not all(isinstance(name, str) for name in includes):
             location = Location(str(path), lines.get(("include",), 0))
             self.add_finding(
-                location, "include", "type", "This is no list of file names.", 'Write include = ["name"].'
+                location,
+                "include",
+                "type",
+                "This is not a list of file names.",
+                'Write include = ["name"].',
             )
             includes = (
                 [name for name in includes if isinstance(name, str)] if isinstance(includes, list) else []
@@ -181,7 +202,7 @@
             location = Location(str(path), lines.get(("include", index), 0))
             if "\0" in name:
                 self.add_finding(
-                    location, "include", "unreadable", "The name holds a NUL byte.", "Name a file."
+                    location, "include", "unreadable", "The name contains a NUL byte.", "Write a file name."
                 )
                 continue
             merged = merge(merged, self.read(path.parent / name, location, chain))
@@ -190,6 +211,7 @@
         return merge(merged, own_settings)
 
     def _with_locations(self, value: Any, lines: dict[KeyPath, int], file: str, path: KeyPath) -> Any:
+        """Return decoded values as a tree of settings with their locations."""
         location = Location(file, lines.get(path, 0))
         if isinstance(value, dict):
             children = {
@@ -208,7 +230,9 @@
             name = _class_name(entry)
             location = _first_location(entry) or Location(self.loaded.path)
             if name is not None and name in seen:
-                reason = f"The class {name!r} stands twice in this file, first in line {seen[name].line}."
+                reason = (
+                    f"The class {name!r} is declared twice in this file, first in line {seen[name].line}."
+                )
                 self.add_finding(location, f"class.{name}", "double-class", reason, "Keep one of them.")
             elif name is not None:
                 seen[name] = location
@@ -225,7 +249,7 @@
 
 
 def merge(base: Tree, override: Tree) -> Tree:
-    """Both, where `over` goes first."""
+    """Return both trees merged; values of `override` take precedence."""
     merged = dict(base)
     for key, value in override.items():
         base_value = merged.get(key)
@@ -251,7 +275,7 @@
 
 
 def plain_values(node: Any) -> Any:
-    """The values of a tree, without where they stand."""
+    """Return the values of a tree without their locations."""
     if isinstance(node, Setting):
         return node.value
     if isinstance(node, dict):
@@ -260,23 +284,28 @@
 
 
 class _UnreadableError(Exception):
+    """A file cannot be read; it carries the parts of a finding."""
+
     def __init__(self, code: str, reason: str, todo: str, line: int = 0) -> None:
         super().__init__(reason)
         self.code, self.reason, self.todo, self.line = code, reason, todo, line
 
 
 def read_bounded(path: str) -> bytes:
-    """The bytes of a file of a sane size; it never waits, as for a named pipe."""
+    """Return the contents of a regular file of at most MAX_FILE_BYTES; _UnreadableError for anything else.
+
+    It never blocks, as opening a named pipe otherwise would.
+    """
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     except (OSError, ValueError) as error:
         cause = getattr(error, "strerror", None) or str(error)
         raise _UnreadableError(
-            "unreadable", f"{path} cannot be read: {cause}.", "Name a file that is there."
+            "unreadable", f"{path} cannot be read: {cause}.", "Name a file that exists and is readable."
         ) from None
     if not stat.S_ISREG(os.fstat(descriptor).st_mode):
         os.close(descriptor)
-        raise _UnreadableError("unreadable", f"{path} is no plain file.", "Name a plain file.")
+        raise _UnreadableError("unreadable", f"{path} is not a regular file.", "Name a regular file.")
     with open(descriptor, "rb") as file:
         data = file.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
@@ -285,14 +314,17 @@
 
 
 def decode_text(data: bytes) -> str:
-    """The text of a file; it must be plain UTF-8."""
+    """Return the contents of a file as text; _UnreadableError unless it is UTF-8 without BOM and NUL."""
     if data.startswith((b"\xef\xbb\xbf", b"\xff\xfe", b"\xfe\xff")):
         raise _UnreadableError(
-            "encoding", "The file begins with a byte order mark.", "Save it as UTF-8 without.", 1
+            "encoding",
+            "The file begins with a byte order mark.",
+            "Save it as UTF-8 without a byte order mark.",
+            1,
         )
     if b"\0" in data:
         line = data[: data.index(b"\0")].count(b"\n") + 1
-        raise _UnreadableError("encoding", "The file holds a NUL byte.", "Take it out.", line)
+        raise _UnreadableError("encoding", "The file contains a NUL byte.", "Remove it.", line)
     try:
         return data.decode()
     except UnicodeDecodeError as error:
@@ -301,6 +333,7 @@
 
 
 def _error_line(message: str, source: str) -> int:
+    """Return the line that a message of tomllib names; 0 if it names none."""
     _, separator, rest = message.partition("(at line ")
     if separator:
         return int(rest.split(",")[0])
@@ -326,16 +359,17 @@
 
 
 def find_root(path: Path) -> Path:
-    """The configuration root of a file: the topmost folder above it that holds a catalogue, else its own.
+    """Return the configuration root of a file: the topmost folder above it with a catalogue, else its own.
 
-    The topmost, as whoever may write an application's folder could else put a milder catalogue there.
+    The topmost counts, because anyone with write access to an application's folder could otherwise put a more
+    permissive catalogue there.
     """
     folders = [folder for folder in path.absolute().parents if (folder / CATALOGUE_FILE).is_file()]
     return folders[-1] if folders else path.absolute().parent
 
 
 def file_locator(path: Path, lines: Mapping[KeyPath, int]) -> Callable[[KeyPath], Location]:
-    """Where each key of one file stands, or the nearest table above it."""
+    """Return a function that gives the location of a key of one file, or of the nearest table above it."""
 
     def locate(key: KeyPath) -> Location:
         while key and key not in lines:
@@ -346,7 +380,7 @@
 
 
 def read_toml(path: Path) -> tuple[dict[str, Any] | None, dict[KeyPath, int], list[Finding]]:
-    """One file by itself: what it says, the lines of its keys, and what is wrong if it could not be read."""
+    """Read one file without its includes: its values (None: unreadable), the lines of its keys, findings."""
     loader = _Loader(path, path.absolute().parent, {})
     decoded = loader.decode_file(path, os.path.realpath(path), Location(str(path)))
     values, lines = decoded if decoded is not None else (None, {})
@@ -354,9 +388,10 @@
 
 
 def load(path: Path, root: Path | None = None, replacements: Mapping[str, bytes] | None = None) -> Loaded:
-    """Read a configuration; what is wrong with the reading and the types is in its findings.
+    """Read a configuration; errors of reading and of types are in its findings.
 
-    `instead`: what is to be read in place of some files, by their real paths, before it is written there.
+    `replacements` holds contents by real path that are read in place of files, to check what has not been
+    written yet.
     """
     loader = _Loader(path, root or find_root(path), replacements or {})
     loaded = loader.loaded
@@ -374,7 +409,7 @@
 
 
 def _apply_inheritance(loader: _Loader) -> None:
-    """Give each class the keys of those that it is like, and the defaults of all; its own go first."""
+    """Give each class the keys of the class named in its `like` and of [class_defaults]; its own keys win."""
     tree = loader.loaded.tree
     entries = _class_entries(tree)
     if not entries or not all(isinstance(entry, dict) for entry in entries):
@@ -392,22 +427,23 @@
 def _resolve_like(
     loader: _Loader, entry_by_name: dict[str, Tree], entry: Tree, chain: tuple[str, ...]
 ) -> Tree:
+    """Return a class merged over the class named in its `like`; `chain` holds the names that led here."""
     like = entry.get("like")
     if not isinstance(like, Setting) or not isinstance(like.value, str) or not like.value:
         return entry
     key = f"class.{_class_name(entry)}.like"
     if like.value in chain or like.value == _class_name(entry):
         loader.add_finding(
-            like.location, key, "like-cycle", f"The class is like itself, by {like.value!r}.", "Break it."
+            like.location,
+            key,
+            "like-cycle",
+            f"The class inherits from itself, through {like.value!r}.",
+            "Remove one `like` of the cycle.",
         )
         return entry
     if like.value not in entry_by_name:
         loader.add_finding(
-            like.location,
-            key,
-            "like-unknown",
-            f"There is no class {like.value!r}.",
-            "Name one that is there.",
+            like.location, key, "like-unknown", f"There is no class {like.value!r}.", "Name a declared class."
         )
         return entry
     other = _resolve_like(loader, entry_by_name, entry_by_name[like.value], (*chain, str(_class_name(entry))))
@@ -415,7 +451,7 @@
 
 
 def load_catalogue(root: Path) -> tuple[Catalogue | None, dict[str, bytes], list[Finding]]:
-    """The catalogue of a configuration root (None: there is none), what was read, what is wrong."""
+    """Return the catalogue of a configuration root (None if there is none), the files read, and findings."""
     path = root / CATALOGUE_FILE
     if not path.is_file():
         return None, {}, []
@@ -429,7 +465,7 @@
 
 
 def _with_class_name(finding: Finding, values: Any) -> Finding:
-    """A class is named in a finding's key by its name, not by its number, which depends on includes."""
+    """Return a finding whose key names the class by its name instead of its index, which includes change."""
     if not finding.key.startswith("class["):
         return finding
     index, _, rest = finding.key[len("class[") :].partition("]")
--- a/whinrouter/operator/model.py
+++ b/whinrouter/operator/model.py
@@ -1,7 +1,8 @@
-"""The typed model of an operator file: one type a section.
+"""The typed model of an operator file: one type for each section.
 
 A subsystem adds its section by adding a type here, or in its own module, to `Model`; the loader follows the
-types. Keys that stand in no type are errors. What a section demands beyond its types is in `checks.py`.
+types. A key that no type has is an error. What a section has to fulfil beyond its types is in `checks.py`.
+The names of fields are keys of users' files.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from whinrouter.operator.values import Address, Duration, Size
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
-Path = Annotated[str, Meta(pattern=r"^/[!-~]{0,255}$")]  # a prefix of whole segments
+Path = Annotated[str, Meta(pattern=r"^/[!-~]{0,255}$")]  # a prefix of a request's path, in whole segments
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
-MS, SECOND = 1_000, 1_000_000
+MS, SECOND = 1_000, 1_000_000  # in microseconds
 
 
 class Effect(Enum):
-    """What a repeat of a request does; the safest last."""
+    """What a repeat of a request does; in order of safety, the safest last."""
 
     AT_MOST_ONCE = "at most once"
     KEYED = "keyed"
@@ -28,12 +29,12 @@
 
     @property
     def rank(self) -> int:
-        """How much may be done with it: the higher, the safer it is said to be."""
+        """How safe a repeat is: the higher, the safer."""
         return list(Effect).index(self)
 
 
 class Group(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """Which hosts share the record of a keyed request, and so drop its repeats."""
 
     CELL = "cell"
     ZONE = "zone"
@@ -41,41 +42,41 @@
 
 
 class WhenGone(Enum):
-    """What the sidecar does while its application is gone."""
+    """What the sidecar does while its application is not running."""
 
-    IGNORE = "ignore"  # it does not look
-    CLOSE = "close"  # it takes no work until the application is back
-    EXIT = "exit"  # it answers what it holds and ends
+    IGNORE = "ignore"  # the application is not monitored
+    CLOSE = "close"  # accepts no work until the application runs again
+    EXIT = "exit"  # answers the requests it holds and exits
 
 
 class Source(Enum):
     """Where the list of hosts comes from."""
 
-    STATIC = "static"  # `hosts`, for the life of the process
+    STATIC = "static"  # `hosts`, which changes only with the operator file
     FILE = "file"  # `file`, read again when it changes
     SERVICE = "service"  # a discovery service at `address`
 
 
 class App(Struct, forbid_unknown_fields=True):
-    """The application beside which the sidecar runs."""
+    """The application that the sidecar serves."""
 
     name: Name = ""
     owner: str = ""
-    ports: list[Annotated[int, Meta(ge=1, le=65535)]] = []  # its own: no sidecar may listen there
-    pid_file: str = ""  # holds its process id, in digits
+    ports: list[Annotated[int, Meta(ge=1, le=65535)]] = []  # of the application: no sidecar may listen there
+    pid_file: str = ""  # path of the file with the application's process id, in digits
     when_gone: WhenGone = WhenGone.IGNORE
 
 
 class Listen(Struct, forbid_unknown_fields=True):
-    """Where the application reaches its sidecar."""
+    """Addresses that the sidecar listens on."""
 
     address: Address | None = None
-    control: Address | None = None  # where operators call; none: nowhere
-    inherited: bool = False  # the socket comes with the process, as by socket activation
+    control: Address | None = None  # for operators' calls; None: no calls are accepted
+    inherited: bool = False  # the listening socket is inherited, as by socket activation
 
 
 class Discovery(Struct, forbid_unknown_fields=True):
-    """The hosts behind the sidecar."""
+    """The hosts that the sidecar sends to."""
 
     source: Source = Source.STATIC
     hosts: list[Address] = []
@@ -85,40 +86,40 @@
 
 
 class RequestClass(Struct, forbid_unknown_fields=True):
-    """One class of request; the application's requests fall into it by their path."""
+    """One class of request; an application's requests are assigned to classes by their path."""
 
     name: Name = ""
-    like: str = ""  # the name of a class whose keys hold where this one says nothing
-    path: Path = ""  # "/" and the name, if not said
-    methods: list[str] = []  # GET for what is idempotent, POST for all else, if not said
+    like: str = ""  # name of the class whose keys apply where this one sets none
+    path: Path = ""  # if empty, "/" and the name
+    methods: list[str] = []  # if empty, GET for an idempotent class and POST for any other
     effect: Effect = Effect.AT_MOST_ONCE
     aim: Duration = Duration(400 * MS)
     deadline: Duration = Duration(1500 * MS)
     group: Group = Group.CELL
-    remembered: Duration = Duration(0)  # for so long the group drops repeats of a keyed request
+    remembered: Duration = Duration(0)  # for how long the group drops repeats of a keyed request
     worth: Annotated[float, Meta(ge=0, le=1_000_000)] = 1.0
     late_worth: Annotated[float, Meta(ge=0, le=1_000_000)] = 0.0
 
 
 class Limits(Struct, forbid_unknown_fields=True):
-    """What the process may take of its machine."""
+    """Resources of the machine that the process may use."""
 
     memory: Size = Size(128 * 1024**2)
     sockets: Annotated[int, Meta(ge=64, le=1_000_000)] = 1024
     clients: Annotated[int, Meta(ge=1, le=1_000_000)] = 400
-    buffered: Size = Size(4 * 1024**2)  # requests that wait or have not come whole
+    buffered: Size = Size(4 * 1024**2)  # for requests that wait or have not been received in full
 
 
 class Upstream(Struct, forbid_unknown_fields=True):
-    """Connections and attempts to the hosts."""
+    """Connections to hosts, and attempts."""
 
     connections: Annotated[int, Meta(ge=1, le=1_000_000)] = 400
     connect_time: Duration = Duration(250 * MS)
     idle_time: Duration = Duration(15 * SECOND)  # after which a host closes an idle connection
-    attempts: Annotated[int, Meta(ge=1, le=10)] = 3  # of a request, at most
-    attempt_time: Duration = Duration(0)  # given to one attempt; 0us: what is left of the deadline
-    hedge: bool = False  # a second attempt may start while the first is out
-    retry_after: bool = False  # the application obeys Retry-After
+    attempts: Annotated[int, Meta(ge=1, le=10)] = 3  # maximum for one request
+    attempt_time: Duration = Duration(0)  # timeout of one attempt; 0us: what is left until the deadline
+    hedge: bool = False  # a second attempt may start while the first is in progress
+    retry_after: bool = False  # the application honours Retry-After
 
 
 class Model(Struct, forbid_unknown_fields=True):
@@ -129,7 +130,7 @@
     discovery: Discovery = field(default_factory=Discovery)
     class_defaults: RequestClass = field(
         default_factory=RequestClass
-    )  # of all classes; they are applied already
+    )  # of all classes; loading has applied them already
     request_class: list[RequestClass] = field(default_factory=list, name="class")
     limits: Limits = field(default_factory=Limits)
     upstream: Upstream = field(default_factory=Upstream)
@@ -141,12 +142,12 @@
     name: Name
     path: Path
     effect: Effect
-    deadline: Duration  # what clients wait at most
+    deadline: Duration  # the longest that clients wait
     remembered: Duration = Duration(0)
 
 
 class Catalogue(Struct, forbid_unknown_fields=True):
-    """The one place in which it is declared what is safe to repeat; no application file can weaken it."""
+    """The only place that declares which requests are safe to repeat; no application's file can weaken it."""
 
     signed_by: str
     effect: list[CatalogueEntry] = []
--- a/whinrouter/operator/writing.py
+++ b/whinrouter/operator/writing.py
@@ -1,7 +1,8 @@
-"""From what a team says of its application to a whole configuration, written whole or not at all.
+"""Writes a whole configuration from a team's description of its application, each file in full or not at all.
 
-Three files: `NAME.toml`, which only includes the two others; `NAME.base.toml`, which is written anew each
-time; and `NAME.local.toml`, which is the team's, goes before the base and is never touched once it is there.
+It consists of three files: `NAME.toml`, which only includes the two others; `NAME.base.toml`, which is
+generated anew each time; and `NAME.local.toml`, which belongs to the team, overrides the base, and is never
+changed once it exists.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 from whinrouter.operator.model import Path as UrlPath
 from whinrouter.operator.values import Address, Duration
 
-FIRST_PORT, LAST_PORT = 9100, 9999  # from which a sidecar that names none has its port
+FIRST_PORT, LAST_PORT = 9100, 9999  # range of the ports that are assigned where a description names none
 
 
 class Need(Struct, forbid_unknown_fields=True):
-    """A class of request, as a team sees it."""
+    """A class of request in a team's description; the names of fields are keys of the file."""
 
     name: Name
     safe_to_repeat: bool = False
@@ -38,7 +39,7 @@
 
 
 class Description(Struct, forbid_unknown_fields=True):
-    """What a team says of its application."""
+    """A team's description of its application; the names of fields are keys of the file."""
 
     name: Name
     owner: str
@@ -47,28 +48,28 @@
     hosts: list[Address] = []
     hosts_file: str = ""
     pid_file: str = ""
-    when_gone: WhenGone | None = None  # "close", if there is a pid_file
+    when_gone: WhenGone | None = None  # if unset, "close" with a pid_file and "ignore" without
     need: list[Need] = []
 
 
 @dataclass(frozen=True, slots=True)
 class WritePlan:
-    """What would be written."""
+    """Files to be written, and what the checks report on them."""
 
     files: dict[Path, bytes]  # in the order of writing
     findings: list[Finding]
 
 
 def read_description(path: Path) -> tuple[Description | None, list[Finding]]:
-    """Read a description; what is wrong with it."""
+    """Read a description; return it (None if it cannot be used) and the findings on it."""
     raw, lines, findings = read_toml(path)
     return (None, findings) if raw is None else decode(Description, raw, file_locator(path, lines))
 
 
 def plan_files(description: Description, folder: Path) -> WritePlan:
-    """The files for a description, and what the checks say of them beside all else in the folder."""
+    """Return the files for a description, and the findings on them next to the folder's other sidecars."""
     top, base = folder / f"{description.name}.toml", folder / f"{description.name}.base.toml"
-    # A run that was killed may have left the base by itself.
+    # A run that was killed may have left the base without the file that includes it.
     own_names = (top.name, base.name)
     others = [loaded for loaded in load_configurations(folder)[0] if Path(loaded.path).name not in own_names]
     catalogue, _, _ = load_catalogue(find_root(top))
@@ -87,11 +88,16 @@
 
 
 def _concerns(finding: Finding, own: Loaded) -> bool:
+    """Return whether a finding is on the files of this configuration, or names it in a conflict."""
     return finding.location.file in own.files or own.path in finding.reason
 
 
 def _free_port(others: list[Loaded], description: Description) -> Address:
-    """The first port that no other sidecar or application of the host has: the same each time."""
+    """Return the lowest port that no other sidecar or application of the machine uses.
+
+    It is the same for the same folder, so that repeated runs write the same file. If all are in use it is the
+    last one, and the checks report the conflict.
+    """
     used_ports = set(description.ports)
     for loaded in others:
         used_ports.update(loaded.model.app.ports)
@@ -182,7 +188,7 @@
 
 
 def unified_diff(plan: WritePlan) -> str:
-    """What writing would change, as a unified diff."""
+    """Return what writing would change, as a unified diff."""
     lines: list[str] = []
     for path, data in plan.files.items():
         old = path.read_text() if path.exists() else ""
@@ -193,16 +199,16 @@
 
 
 def write_files(plan: WritePlan) -> list[Path]:
-    """Write what differs, each file whole or not at all; return what was written.
+    """Write the files that differ, each in full or not at all; return the paths that were written.
 
-    A file is written beside its place, brought to the disk, and renamed. The one that includes the others
-    comes last, so that at each moment whatever it includes is there.
+    Each file is written under a temporary name in its folder, synced to disk, and renamed. The one that
+    includes the others comes last, so that its includes exist at any moment.
     """
     written = []
     for path, data in plan.files.items():
         if path.exists() and path.read_bytes() == data:
             continue
-        temporary = path.parent / f".{path.name}.new"  # one name: what a killed run left is overwritten
+        temporary = path.parent / f".{path.name}.new"  # a fixed name: what a killed run left is overwritten
         descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o644)
         try:
             with open(descriptor, "wb") as file:
@@ -219,6 +225,7 @@
 
 
 def _fsync_folder(folder: Path) -> None:
+    """Sync a folder's entries to disk, so that a rename survives a crash of the machine."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
--- a/whinrouter/platform_gateway.py
+++ b/whinrouter/platform_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway as the platform runs it: told by its environment and a JSON file."""
+"""The gateway as the platform runs it: configured by its environment and a JSON file."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 log = logging.getLogger("whinrouter")
 
 
-# What a start alone decides, and so no reload; the rest of what a file names is in force at once.
+# Keys that only a start applies; all others of a file are applied by a reload.
 _STARTUP_KEYS = ("name", "listen", "control")
 
 
 class _Reloader:
-    """On SIGHUP: read the file again; take its settings and its discovery, or nothing of it."""
+    """On SIGHUP: read the file again, and apply its settings and its discovery, or nothing of it."""
 
     def __init__(self, config: Config) -> None:
         self._config = config
@@ -54,13 +54,13 @@
 
 
 def runtime_settings(config: Config) -> RuntimeSettings:
-    """What of a configuration may change while the gateway serves."""
+    """Return the part of a configuration that may change while the gateway serves."""
     half = max(1, (config.sockets - RESERVED_DESCRIPTORS) // 2)
     return RuntimeSettings(config.settings, config.connect_time, config.idle_time, half, half)
 
 
 def gateway_options(config: Config) -> GatewayOptions:
-    """What the platform tells, as a gateway is started with it."""
+    """Return a configuration in the form that a gateway is started with."""
     runtime = runtime_settings(config)
     return GatewayOptions(
         name=config.name,
@@ -82,7 +82,7 @@
 
 
 def main() -> int:
-    """Serve until a signal ends it; 2 if it cannot start."""
+    """Serve until a signal ends it; return the exit status, 2 if it cannot start."""
     signals.block()
     log_to_stderr()
     try:
--- a/whinrouter/program.py
+++ b/whinrouter/program.py
@@ -1,4 +1,4 @@
-"""A gateway as a process: its parts put together, started, and ended. What it is told, others read."""
+"""A gateway as a process: its parts are built, started and ended. Configuration is read elsewhere."""
 
 from __future__ import annotations
 
@@ -40,30 +40,31 @@
 
 log = logging.getLogger("whinrouter")
 event_log = logging.getLogger("whinrouter.events")
-# Logs that are written without a gap.
+# Loggers whose lines are never left out.
 UNFILTERED = ("whinrouter.audit", "whinrouter.events", "whinrouter.invariants.violations")
 
-# Descriptors for all that is no client's and no host's connection, or is not counted yet: the standard
-# streams, the loop, the listeners and the watch on discovery (10), callers (8, `control/shell.py`), clients
-# past the limit (8, `net/frontend.py`), and what is accepted in the turns before it is counted (3 times 4,
+# Descriptors for all but counted connections of clients and hosts: the standard streams, the loop, the
+# listeners and the watch on discovery (10), operators' connections (8, `control/server.py`), clients above
+# the limit (8, `net/frontend.py`), and connections accepted but not counted yet (3 times 4,
 # `net/connect.py`).
 RESERVED_DESCRIPTORS = 40
-ACCEPT_GRACE_SECONDS = 0.5  # seconds for which connections go on coming after SIGTERM
-STREAM_DRAIN_SECONDS = 300.0  # seconds for bodies that are passed on at the end: 32 MB at 107 kB/s
+ACCEPT_GRACE_SECONDS = 0.5  # connections go on arriving for this long after SIGTERM
+STREAM_DRAIN_SECONDS = 300.0  # for bodies in progress at the end: 32 MB at 107 kB/s
 LAG_CHECK_SECONDS, LAG_WARNING_SECONDS = 0.1, 0.05
-# New objects between two looks of the collector. What a request makes is freed as it ends, and cycles are
-# rare: with Python's own 700 it cost up to a tenth of all CPU.
+# New objects between two runs of the garbage collector. A request's objects are freed as it ends and cycles
+# are rare: with Python's default of 700 the collector took up to a tenth of all CPU time.
 GC_THRESHOLD_OBJECTS = 20_000
-LOG_REPEAT_SECONDS = 1.0  # seconds between two log lines of a kind
-# Seconds between two reloads: SIGHUPs that come faster than a file is read must not keep the loop busy.
+LOG_REPEAT_SECONDS = 1.0  # between two log lines of the same template
+# Between two reloads: SIGHUPs that arrive faster than a file is read must not keep the event loop busy.
 RELOAD_INTERVAL_SECONDS = 0.1
-EVENTS_INTERVAL_SECONDS = (
-    1.0  # and between two times at which the latest events, thousands of lines, are written
-)
+EVENTS_INTERVAL_SECONDS = 1.0  # between two dumps of the latest events, which are thousands of lines
 
 
 class HostSource(Protocol):
-    """Where lists of hosts come from."""
+    """A source of host lists: discovery, a file, or the configuration.
+
+    `resume` continues from a revision that another process received from `source`.
+    """
 
     @property
     def source(self) -> str: ...
@@ -77,15 +78,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedApplication:
-    """The application that a gateway serves alone."""
+    """The application that a sidecar serves."""
 
     pid_file: str
-    exits_with_it: bool  # else it takes no work until the application is back
+    exits_with_it: bool  # else it stops listening until the application is back
 
 
 @dataclass(frozen=True, slots=True)
 class RuntimeSettings:
-    """What may change while it serves."""
+    """The settings that may change while the gateway serves."""
 
     settings: Settings
     connect_timeout: float  # seconds
@@ -93,7 +94,7 @@
     max_clients: int  # connections of clients at most
     max_host_connections: int  # connections to hosts at most
     routes: Routes | None = None
-    attempt_timeout: int = 0  # microseconds; 0: what is left
+    attempt_timeout: int = 0  # microseconds that an attempt may take; 0: the request's time left
 
 
 ApplySettings = Callable[[RuntimeSettings], None]
@@ -101,10 +102,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayOptions:
-    """All that a gateway is started with."""
+    """Everything that a gateway is started with."""
 
     name: str
-    listen_address: tuple[str, int]  # the port of a Unix socket's path is 0
+    listen_address: tuple[str, int]  # for a Unix socket the path and port 0
     settings: Settings
     seed: int
     known_hosts: HostList
@@ -114,44 +115,42 @@
     idle_timeout: float  # seconds
     max_clients: int  # connections of clients at most
     max_host_connections: int  # connections to hosts at most
-    known_hosts_are_stale: bool = True  # nobody has told of these hosts since the start
+    known_hosts_are_stale: bool = True  # they were listed before the start
     routes: Routes | None = None
-    attempt_timeout: int = 0  # microseconds that an attempt may take; 0: what is left
-    max_buffered_bytes: int | None = (
-        None  # bytes of requests that wait or have not come whole; None: the usual
-    )
+    attempt_timeout: int = 0  # microseconds that an attempt may take; 0: the request's time left
+    max_buffered_bytes: int | None = None  # of requests that wait or are not complete; None: the default
     application: ServedApplication | None = None
-    control_address: tuple[str, int] | None = None  # where operators call
-    listener_descriptor: int | None = None  # the descriptor of a socket that listens for clients already
+    control_address: tuple[str, int] | None = None  # for operators' calls
+    listener_descriptor: int | None = None  # of an inherited socket that already listens for clients
 
 
 def serve(options: GatewayOptions) -> None:
-    """Run until SIGTERM or SIGINT, or until the application ends if it is to end with that.
+    """Run until SIGTERM or SIGINT, or until the application ends if the gateway is to end with it.
 
     Raises ConfigError if it cannot listen.
     """
-    door = PrioritySelector(
+    selector = PrioritySelector(
         OverloadControl([request_class.aim / SECOND for request_class in options.settings.classes])
     )
-    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(door)) as runner:
-        runner.run(_block_signals_after(_serve(options, door)))
+    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
+        runner.run(_block_signals_after(_serve(options, selector)))
 
 
 async def _block_signals_after(work: Coroutine[Any, Any, None]) -> None:
-    """Hold signals from the end of this work on: the loop gives them their default actions as it closes."""
+    """Block signals from the end of this work on: the loop restores their default actions as it closes."""
     try:
         await work
     finally:
         signals.block()
 
 
-async def _serve(options: GatewayOptions, door: PrioritySelector) -> None:
+async def _serve(options: GatewayOptions, selector: PrioritySelector) -> None:
     upstream = ConnectionPool(
-        options.connect_timeout, options.idle_timeout, options.max_host_connections, door.unread_seconds
+        options.connect_timeout, options.idle_timeout, options.max_host_connections, selector.unread_seconds
     )
     gateway = Gateway(Balancer(options.settings, options.seed), upstream, options.attempt_timeout)
     frontend = Frontend(
-        gateway, options.settings, options.max_clients, door, options.routes, options.max_buffered_bytes
+        gateway, options.settings, options.max_clients, selector, options.routes, options.max_buffered_bytes
     )
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -163,7 +162,7 @@
     controller.violation_summary = gateway.guards.violations.summary
     host_source = options.create_host_source(controller.apply_list)
     coordinator = _create_coordinator(options, gateway, frontend, upstream, controller, host_source)
-    snapshot = await coordinator.request_snapshot() if coordinator is not None else None
+    snapshot = await coordinator.restore_from_older() if coordinator is not None else None
     if snapshot is None:
         controller.apply_list(options.known_hosts, is_stale=options.known_hosts_are_stale)
     else:
@@ -183,7 +182,7 @@
         await coordinator.start_serving()
     host_source.start()
     lag_task = loop.create_task(_watch_lag())
-    # What exists now stays: the collector need not look at it again, which would hold up the loop.
+    # The objects that exist now stay: scanning them again would only delay the loop.
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD_OBJECTS, 20, 50)
@@ -207,7 +206,7 @@
 
 
 def _close(gateway: Gateway, control: ControlServer | None, coordinator: HandoverCoordinator | None) -> None:
-    """Close what takes calls from operators and from other processes, and say how it went."""
+    """Close the connections to operators and other processes, and log the result."""
     if control is not None:
         control.close()
     if coordinator is not None:
@@ -223,7 +222,7 @@
 
 
 def _write_events(gateway: Gateway) -> None:
-    """Write the latest events to the log, as an operator asks by SIGUSR1."""
+    """Write the latest events to the log, as an operator requests by SIGUSR1."""
     events = gateway.guards.ring.events()
     for event in events:
         event_log.info("event %s", event)
@@ -238,11 +237,11 @@
     controller: OperationsController,
     host_source: HostSource,
 ) -> HandoverCoordinator | None:
-    """Where another process may listen at the same socket, what is told between the two."""
+    """Return the handover's coordinator; None if no other process can share the listening socket."""
     directory = os.environ.get("TMPDIR")
     if options.listener_descriptor is None or not directory:
         return None
-    from whinrouter.handover.coordinator import HandoverCoordinator  # noqa: PLC0415 - only where it is on
+    from whinrouter.handover.coordinator import HandoverCoordinator  # noqa: PLC0415 - only if enabled
     from whinrouter.handover.messages import Hello  # noqa: PLC0415
 
     hello = Hello(
@@ -272,7 +271,7 @@
     coordinator: HandoverCoordinator | None,
     new: RuntimeSettings,
 ) -> None:
-    """All of it or, as it has been checked, nothing: no request comes between."""
+    """Apply checked settings as a whole: no request is handled in between."""
     upstream.retune(new.connect_timeout, new.idle_timeout, new.max_host_connections)
     gateway.apply_settings(new.settings, new.attempt_timeout)
     frontend.apply_settings(new.settings, new.max_clients, new.routes)
@@ -294,7 +293,7 @@
 async def _start_control(
     options: GatewayOptions, controller: OperationsController, is_ready: Callable[[], bool]
 ) -> ControlServer | None:
-    """The operators' address, where there is one."""
+    """Listen for operators' calls, if an address is configured."""
     if options.control_address is None:
         return None
     calls = CallRegistry()
@@ -322,7 +321,7 @@
 def _create_application(
     options: GatewayOptions, frontend: Frontend, stop: asyncio.Event
 ) -> ApplicationMonitor | None:
-    """Listen while the application is here, and not while it is gone."""
+    """Watch the application: listen only while it runs."""
     application = options.application
     if application is None:
         return None
@@ -342,7 +341,7 @@
         task.add_done_callback(tasks.discard)
 
     def application_gone() -> None:
-        # Its own connections end by themselves, and what is left of them is nobody's.
+        # The application's connections end by themselves; requests left on them need no answer.
         frontend.close()
         if application.exits_with_it:
             stop.set()
@@ -351,16 +350,15 @@
 
 
 class _RepeatFilter(logging.Filter):
-    """Peers can cause some lines at will: of a kind, one in a second is enough."""
+    """Limits lines that peers can cause at will to one a second of each template."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._last_logged: dict[
-            str, float
-        ] = {}  # by the text without its figures: as many as the source holds
+        self._last_logged: dict[str, float] = {}  # by the format string, so bounded by the source's size
         self._left_out: dict[str, int] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether to write this line; the next one written counts those left out."""
         if record.name in UNFILTERED:
             return True
         template, now = str(record.msg), time.monotonic()  # the wall clock may be stepped back by an hour
@@ -375,21 +373,21 @@
 
 
 async def _stop_accepting(frontend: Frontend, is_replaced: bool) -> None:
-    """Stop listening, once what still comes has come."""
-    if not is_replaced:  # else it is another process that connections go on coming to
+    """Stop listening, after accepting the connections that are still arriving."""
+    if not is_replaced:  # else new connections arrive at the newer process
         await asyncio.sleep(ACCEPT_GRACE_SECONDS)
     await frontend.listener.accept_pending()
-    if is_replaced:  # those that are idle end with an answer, or as `Presence` says
+    if is_replaced:  # idle connections end with an answer, or by `Presence.idle_timeout`
         frontend.close_listener()
     else:
         frontend.close()
 
 
 async def _drain_connections(frontend: Frontend) -> None:
-    """Each connection closes with its answer; one who doesn't read must not hold up the exit.
+    """Wait until all connections have closed; a client that does not read must not hold up the exit.
 
-    What is still being received as the last moment for answers comes is refused: its last byte would make it
-    ours, with nobody left to answer it.
+    A request that is still being received at the last moment for answers is refused: once its last byte has
+    arrived it would have to be answered, and the process would be ended before that.
     """
     loop = asyncio.get_running_loop()
     answer_deadline = frontend.presence.answer_deadline(frontend.longest_deadline_seconds) or loop.time()
@@ -402,7 +400,7 @@
         return
     except TimeoutError:
         pass
-    try:  # what is passed on is its host's and its client's to end, as long as they move it
+    try:  # a body in progress may go on for as long as host and client keep it moving
         async with asyncio.timeout(STREAM_DRAIN_SECONDS):
             while frontend.streaming_connections:
                 await asyncio.sleep(0.01)
@@ -414,7 +412,7 @@
 
 
 async def _watch_lag() -> None:
-    """Say so when the loop runs late: every deadline is then met late."""
+    """Log event loop lag: it delays every deadline."""
     loop = asyncio.get_running_loop()
     while True:
         due = loop.time() + LAG_CHECK_SECONDS
@@ -424,7 +422,7 @@
 
 
 def log_to_stderr() -> None:
-    """Log as the gateway's program does."""
+    """Set up logging as the gateway's program does."""
     logging.basicConfig(
         stream=sys.stderr,
         level=logging.INFO,
--- a/whinrouter/server_state.py
+++ b/whinrouter/server_state.py
@@ -1,4 +1,7 @@
-"""What a balancer believes of one server; it reads no clock and does no I/O."""
+"""The balancer's state of one server; it reads no clock and does no I/O.
+
+Requests in flight are bounded by a concurrency limit, which answers in time raise and signs of overload cut.
+"""
 
 from __future__ import annotations
 
@@ -10,43 +13,47 @@
 from whinrouter.learned_state import LearnedServerState, age_of, moment_of
 from whinrouter.slowstart import SlowStart
 
-# Attempts that all balancers together may have in flight at a server of mean size that they have just met.
-# All start together: with 8 for each of three, or 3 for each of eight, the first seconds of a day filled
-# hosts of two or three cores beyond what these recover from soon. And each of them at least: with a whole one
-# for each of forty nothing was bounded, and a quarter at each of its servers lets any of them begin.
+# Requests that all balancers together may first have in flight at a new server of mean capacity, and the
+# least that each may have. All balancers start together: with 8 for each of three balancers, or 3 for each of
+# eight, the first seconds of a day overloaded hosts of two or three cores for long. With a minimum of one for
+# each of forty nothing was bounded; a quarter at each of its servers still lets a balancer start.
 INITIAL_LIMIT, MIN_INITIAL_LIMIT = 10.0, 0.25
-# And what signs of overload leave to all together. Some answers are late on any host; where two balancers
-# share ten, and one has most of the traffic, one in flight from each is no load. All servers of a balancer
-# are worth one request at least: with a quarter from each, forty balancers had ten at each server.
+# The least limit of all balancers together, whatever the signs of overload. Some answers are late on any
+# host; where two balancers share ten hosts and one has most of the traffic, one request in flight from each
+# is no load. The minimum limits of a balancer's servers sum to one request at least; not to a quarter at each
+# server, as forty balancers then had ten requests at each.
 MIN_LIMIT = 5.0
-LIMIT_CUT_FACTOR = 0.7  # by which each sign of overload cuts that limit
-# By which an answer in time widens a part of a pool. Against `BACK_OFF` the pool stands where one answer in
-# eight is late. Doubled by each, limits grew within the first second of a burst to what overdrives every
-# server; with 0.3 they did as well, with 0.1 on some days, and with 0.025 pools were still small long after
-# trouble was over.
+LIMIT_CUT_FACTOR = 0.7  # factor on the limit for each sign of overload
+# Relative growth of a pooled limit with each answer in time. Together with LIMIT_CUT_FACTOR, the pool is
+# steady where one answer in eight is late. Limits that doubled with each answer overloaded every server
+# within the first second of a burst; those with 0.3 did as well, and with 0.1 on some days; with 0.025 pools
+# were still small long after the trouble.
 POOLED_LIMIT_GROWTH = 0.05
-# A server's pace is remembered for this long, and for as long as so many answers of each server take to come:
-# one that meets a server every two seconds had always forgotten that it was slow.
+# A latency ratio is forgotten over this time, or over the time of this many answers of each server if that is
+# longer: a balancer that met a server every two seconds always forgot that it was slow.
 LATENCY_MEMORY, LATENCY_MEMORY_ANSWERS = SECOND // 2, 4
-UNANSWERED = {None, Outcome.TIMEOUT, Outcome.CANCELLED}  # out, or given up while it was
+UNANSWERED = {None, Outcome.TIMEOUT, Outcome.CANCELLED}  # running, or given up while running
 
 
 @dataclass(slots=True, eq=False)
 class ServerState:
-    info: Server
+    """What a balancer knows about one server."""
+
+    info: Server  # as discovery lists it
     random: Random
     breaker: Breaker
-    slow_start: SlowStart  # what may be sent while it is cold
+    slow_start: SlowStart  # bounds what is sent while the server is cold
     in_flight: int = 0
-    limit: float = 1.0  # in flight at most, or one; grows with answers in time
-    min_limit: float = 1.0  # below which it does not shrink
-    limit_cut_at: int = 0  # when the limit was last cut
-    latency_ratio: float = 1.0  # how long its answers take, as a multiple of the usual time
-    latency_ratio_at: int = 0
-    capacity: float = 1.0  # how much it can do, against the others
-    class_breakers: dict[str, ClassBreaker] = field(default_factory=dict)  # an entry for each class announced
+    limit: float = 1.0  # bounds `in_flight`, rounded down, but not below one
+    min_limit: float = 1.0
+    limit_cut_at: int = 0  # moment of the last cut
+    latency_ratio: float = 1.0  # mean ratio of its latencies to the expected ones
+    latency_ratio_at: int = 0  # moment of its last update
+    capacity: float = 1.0  # relative to the other servers
+    class_breakers: dict[str, ClassBreaker] = field(default_factory=dict)  # by announced class
 
     def export_state(self, now: int) -> LearnedServerState:
+        """Return what a successor of the balancer needs, with all moments as spans from now."""
         class_breakers = {name: breaker.export_state(now) for name, breaker in self.class_breakers.items()}
         info, breaker = self.info, self.breaker.export_state(now)
         return LearnedServerState(
@@ -61,7 +68,7 @@
         )
 
     def restore_state(self, learned: LearnedServerState, share: float, now: int) -> None:
-        """Go on from what another learnt, with a part of its limit and of a cold server's share."""
+        """Take over what another balancer learned, with a share of its limit and of its slow-start tokens."""
         self.limit = max(self.min_limit, learned.limit * share)
         self.latency_ratio, self.latency_ratio_at = (
             learned.latency_ratio,
@@ -75,37 +82,43 @@
             )
 
     def load_score(self, now: int, memory: float) -> float:
-        """In flight by size and pace; a pace not seen again is forgotten, or it would last for ever."""
+        """Return the load: requests in flight, weighted by capacity and latency.
+
+        The latency ratio decays to 1 over `memory`; else a server that was slow once would never be tried
+        again.
+        """
         latency_ratio = 1 + (self.latency_ratio - 1) * max(0.0, 1 - (now - self.latency_ratio_at) / memory)
         return (self.in_flight + 1) * latency_ratio / self.capacity
 
     def class_breaker(self, request_class: RequestClass) -> ClassBreaker:
+        """Return the breaker of a class, created at its first use."""
         class_breaker = self.class_breakers.get(request_class.name)
         if class_breaker is None:
             class_breaker = self.class_breakers[request_class.name] = ClassBreaker(self.random)
         return class_breaker
 
     def admits(self, request_class: RequestClass, now: int) -> bool:
+        """Whether the limit and both breakers admit a request of this class."""
         has_capacity = self.in_flight < max(1, int(self.limit))
         return has_capacity and self.breaker.admits(now) and self.class_breaker(request_class).admits(now)
 
     def raise_limit(self) -> None:
-        """An answer came in time: the limit grows where it is nearly reached."""
+        """Raise the limit after an answer in time, if the requests in flight come near to it."""
         if 2 * self.in_flight >= self.limit - 2:
             self.limit += min(self.limit, 1 / self.limit)
 
     def raise_pooled_limit(self) -> None:
-        """Likewise, where it counts as a part of a sum that is nearly reached (`Balancer._crowded`)."""
+        """Raise a limit that is a part of a pool; the caller checks that the pool is nearly used up."""
         self.limit += min(POOLED_LIMIT_GROWTH * self.limit, 1 / self.limit)
 
     def cut_limit(self, attempt: Attempt, now: int) -> None:
-        """One stall delays all that is in flight: it is one sign, however many attempts it holds."""
+        """Cut the limit, once for all requests that were in flight together: one stall delays them all."""
         if attempt.sent_at >= self.limit_cut_at:
             self.limit = max(self.min_limit, self.limit * LIMIT_CUT_FACTOR)
             self.limit_cut_at = now
 
     def record_success(self, request_class: RequestClass, attempt: Attempt, now: int) -> None:
-        """A late answer has had its verdict, but shows that its class is served."""
+        """Count an answer. One to an attempt that was counted as late shows only that the class is served."""
         if not attempt.is_counted:
             self.breaker.record_success(attempt.is_trial)
         self.class_breaker(request_class).record_answer(
@@ -115,9 +128,10 @@
     def is_silent(
         self, request_class: RequestClass, attempt: Attempt, expected_latency: float, now: int
     ) -> bool:
-        """Whether it let an attempt wait and served none of its class meanwhile; a slow one serves others.
+        """Whether an attempt waited for the expected latency while the server answered none of its class.
 
-        Clients that leave early must not hide that: each makes a silent server look free for the next.
+        A slow server answers others meanwhile. Clients that leave early must not hide a silent server: each
+        frees its slot, so that the server looks idle to the next one.
         """
         has_waited = attempt.outcome in UNANSWERED and now - attempt.sent_at >= expected_latency
         return has_waited and self.class_breaker(request_class).last_answer_at < attempt.sent_at
--- a/whinrouter/shedding.py
+++ b/whinrouter/shedding.py
@@ -1,8 +1,8 @@
-"""How much of the work asked for is let in while servers are overloaded, and which; no clock, no I/O.
+"""Load shedding: how much of the offered work is admitted under overload, and which; no clock, no I/O.
 
-Overload shows in a balancer's own answers. Each late one cuts the share of the work that is let in, each in
-time lets it grow again. What is let in of that share is taken in the order of worth for work, by parts: a
-part is a class, within its tenants' shares or beyond them.
+Overload shows in a balancer's own answers: each late answer cuts the admitted share of the work, each answer
+in time raises it. The share is filled in the order of worth per work. The traffic is divided into parts for
+this: each class within its tenants' allowances, and each class beyond them.
 """
 
 from __future__ import annotations
@@ -11,50 +11,51 @@
 
 from whinrouter.interface import SECOND, Request, RequestClass, Settings
 
-SHED_TIME_CONSTANT = SECOND // 2  # late answers for this long leave about a third of the share that is let in
-MAX_RESULT_SPAN = (
-    SECOND // 4
-)  # an answer speaks for the time since the one before it, but for no longer than this
-ALLOWANCE_BURST_SECONDS = 5  # seconds of its share that a tenant may save up
+SHED_TIME_CONSTANT = SECOND // 2  # late answers over this time leave about a third of the admitted share
+# An answer speaks for the time since the one before it, up to this.
+MAX_RESULT_SPAN = SECOND // 4
+ALLOWANCE_BURST_SECONDS = 5  # a tenant may save up its allowance over this time
 
-TrafficPart = tuple[str, bool]  # a class, and whether beyond its tenant's share
+TrafficPart = tuple[str, bool]  # a class, and whether the request exceeds its tenant's allowance
 
 
 class LoadShedder:
-    """The state of one balancer; it has an entry for each class and tenant of the settings."""
+    """The load shedder of one balancer; its memory is bounded by the classes and tenants of the settings."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._announced_classes = {request_class.name for request_class in settings.classes}
-        self._class_worths: dict[str, float] = {}  # of a request, by class
-        self._request_counts: dict[TrafficPart, int] = {}  # requests
-        self._offered_work: dict[TrafficPart, float] = {}  # work asked for
+        self._class_worths: dict[str, float] = {}  # worth of one request
+        self._request_counts: dict[TrafficPart, int] = {}
+        self._offered_work: dict[TrafficPart, float] = {}
+        # By tenant, the requests left within the allowance and the moment of that count.
         self._tenant_credit = {
             tenant: (allowance * ALLOWANCE_BURST_SECONDS, 0)
             for tenant, allowance in settings.allowances.items()
         }
-        self.admitted_share = 1.0  # of the work asked for that is let in
-        self._last_result_at = 0  # when an answer last moved it
+        self.admitted_share = 1.0  # of the offered work
+        self._last_result_at = 0  # moment at which an answer last changed the share
 
     def with_settings(self, settings: Settings) -> LoadShedder:
-        """The state of one with other settings: the share stays, and so does what known classes asked for."""
-        fresh = LoadShedder(settings)
-        fresh.admitted_share, fresh._last_result_at = self.admitted_share, self._last_result_at
-        for part in (part for part in self._request_counts if part[0] in fresh._announced_classes):
-            fresh._request_counts[part], fresh._offered_work[part] = (
+        """Return a copy under other settings: it keeps the share, and the offered work of known classes."""
+        successor = LoadShedder(settings)
+        successor.admitted_share, successor._last_result_at = self.admitted_share, self._last_result_at
+        for part in (part for part in self._request_counts if part[0] in successor._announced_classes):
+            successor._request_counts[part], successor._offered_work[part] = (
                 self._request_counts[part],
                 self._offered_work[part],
             )
-            fresh._class_worths[part[0]] = self._class_worths[part[0]]
-        for tenant in fresh._tenant_credit.keys() & self._tenant_credit.keys():
-            fresh._tenant_credit[tenant] = self._tenant_credit[tenant]
-        return fresh
+            successor._class_worths[part[0]] = self._class_worths[part[0]]
+        for tenant in successor._tenant_credit.keys() & self._tenant_credit.keys():
+            successor._tenant_credit[tenant] = self._tenant_credit[tenant]
+        return successor
 
     def export_state(self) -> tuple[float, int]:
-        """The share that is let in, and when an answer last moved it."""
+        """Return the admitted share and the moment of its last change."""
         return self.admitted_share, self._last_result_at
 
     def restore_state(self, admitted_share: float, last_result_at: int) -> None:
+        """Take over the exported state of another load shedder."""
         self.admitted_share, self._last_result_at = admitted_share, last_result_at
 
     def should_shed(
@@ -66,7 +67,10 @@
         has_no_feedback: bool,
         random: Random,
     ) -> bool:
-        """Count a request, and say whether it is turned away; `blind`: nothing is out that could tell."""
+        """Count a request and return whether to refuse it.
+
+        `has_no_feedback`: no request is pending whose answer could change the admitted share.
+        """
         part = request_class.name, self._exceeds_allowance(event, now)
         self._class_worths[request_class.name] = request_class.worth
         self._request_counts[part] = self._request_counts.get(part, 0) + 1
@@ -76,21 +80,19 @@
         return random.random() >= self._admission_probability(part)
 
     def record_result(self, in_time: bool, now: int) -> None:
-        """An answer came, in time or late.
+        """Count an answer in time or late.
 
-        Signs are weighed by time, not counted: one balancer that sees all and one of hundreds react alike.
+        Results are weighted by time, not by number: so a balancer with all of the traffic and one of hundreds
+        react alike.
         """
-        previous, self._last_result_at = (
-            self._last_result_at or now,
-            now,
-        )  # the first sign speaks for no time at all
+        previous, self._last_result_at = self._last_result_at or now, now  # the first result has no weight
         weight = min(now - previous, MAX_RESULT_SPAN) / SHED_TIME_CONSTANT
         self.admitted_share = (
             min(1.0, self.admitted_share + weight) if in_time else self.admitted_share * (1 - weight)
         )
 
     def _exceeds_allowance(self, event: Request, now: int) -> bool:
-        """Whether it is beyond its tenant's share, as far as this balancer's part of that tells."""
+        """Whether a request exceeds its tenant's allowance at this balancer."""
         if event.tenant not in self._tenant_credit:
             return False
         rate = self._settings.allowances[event.tenant]
@@ -100,7 +102,7 @@
         return credit < 1
 
     def _admission_probability(self, part: TrafficPart) -> float:
-        """The share of a part's requests that is let in."""
+        """Return the probability with which a part's request is admitted; it may lie outside of 0 to 1."""
         work_before = 0.0
         for group in self._priority_groups():
             work = sum(self._offered_work[other] for other in group)
@@ -110,25 +112,26 @@
         return 1.0
 
     def _priority_groups(self) -> list[list[TrafficPart]]:
-        """The parts in the order in which they are let in; those of one group are let in alike."""
+        """Return the parts in the order of their admission; those of one group are admitted alike."""
         worth = {part: self._total_worth(part) for part in self._request_counts}
 
-        def value(group: list[TrafficPart], bonus: float = 0.0) -> float:
+        def worth_per_work(group: list[TrafficPart], bonus: float = 0.0) -> float:
             return (bonus + sum(worth[part] for part in group)) / sum(
                 self._offered_work[part] for part in group
             )
 
         worst, bonus = self._worst_served(worth), self._settings.worst_class_weight * sum(worth.values())
-        groups = [([part], value([part])) for part in worth if part not in worst]
+        groups = [([part], worth_per_work([part])) for part in worth if part not in worst]
         if worst:
-            groups.append((worst, value(worst, bonus)))
+            groups.append((worst, worth_per_work(worst, bonus)))
         return [group for group, _ in sorted(groups, key=lambda entry: -entry[1])]
 
     def _worst_served(self, worth: dict[TrafficPart, float]) -> list[TrafficPart]:
-        """The classes that are the worst served together; none where the worst counts for nothing.
+        """Return the classes that share the worst service; none if the worst class has no weight.
 
-        To let in the least is worth what that class is, and what the worst class counts for itself, until it
-        is the least no longer: then the next stands beside it. What is beyond shares is in no such class.
+        Admitting the worst-served class is worth that class itself and the weight of the worst class, until
+        it is no longer the worst: then the next one joins it. Requests beyond an allowance belong to no such
+        class.
         """
         bonus = self._settings.worst_class_weight * sum(worth.values())
         candidates = [part for part in worth if part[0] in self._announced_classes and not part[1]]
@@ -143,5 +146,6 @@
         return worst
 
     def _total_worth(self, part: TrafficPart) -> float:
+        """Return the worth of all requests of a part so far."""
         worth_factor = self._settings.over_allowance_worth if part[1] else 1
         return self._class_worths[part[0]] * worth_factor * self._request_counts[part]
--- a/whinrouter/sidecar.py
+++ b/whinrouter/sidecar.py
@@ -36,9 +36,9 @@
 
 log = logging.getLogger("whinrouter")
 
-# A service that names hosts is nobody's own: it may be asked by any number of sidecars, of which this is one.
-# Its watch is kept for as long, and asked for again as seldom, as that of a lone gateway.
-SERVICE_PATIENCE = shared_service_policy(gateways=1, ask_every=10.0)
+# A discovery service is shared by any number of sidecars. The watch is kept for as long, and renewed as
+# seldom, as that of a single gateway.
+SERVICE_RETRY_POLICY = shared_service_policy(gateways=1, ask_every=10.0)
 
 _EFFECTS = {
     schema.Effect.IDEMPOTENT: Effect.IDEMPOTENT,
@@ -49,9 +49,9 @@
 
 
 def run(path: Path, digest: str | None = None) -> int:
-    """Run a sidecar until it is told to stop; 1 if its file is refused, 2 if it cannot start.
+    """Run a sidecar until it is stopped; return 1 if its file is refused, 2 if it cannot start.
 
-    `digest`: what `copperlead sidecar check` showed; a file that has changed since is refused.
+    `digest`: as printed by `copperlead sidecar check`; a file that has changed since is refused.
     """
     signals.block()
     loaded = load(path)
@@ -82,7 +82,7 @@
 
 
 def settings(model: schema.Model) -> Settings:
-    """What the module is told of a configuration that has passed the checks."""
+    """Return the decision module's settings for a configuration that has passed the checks."""
     upstream = model.upstream
     return Settings(
         classes=tuple(map(_request_class, model.request_class)),
@@ -108,7 +108,7 @@
 
 
 def routes(model: schema.Model) -> Routes:
-    """Where the application's paths lead."""
+    """Return the routes of the application's paths to classes."""
     return Routes(
         Route(
             effective_path(declared).encode(),
@@ -120,7 +120,7 @@
 
 
 def gateway_options(loaded: Loaded) -> GatewayOptions:
-    """What a configuration that has passed the checks is run as."""
+    """Return a checked configuration in the form that a gateway is started with."""
     model = loaded.model
     listen_address, limits, upstream, app = model.listen.address, model.limits, model.upstream, model.app
     assert listen_address is not None
@@ -168,12 +168,12 @@
         return partial(HostFile, discovery.file, _parse_host)
     if discovery.source is schema.Source.SERVICE:
         assert discovery.address is not None
-        return partial(Discovery, _host_and_port(discovery.address), 0, retry_policy=SERVICE_PATIENCE)
+        return partial(Discovery, _host_and_port(discovery.address), 0, retry_policy=SERVICE_RETRY_POLICY)
     return _StaticHostSource
 
 
 class _StaticHostSource:
-    """Hosts that are named in the operator file; they change with it."""
+    """Hosts that are named in the operator file; they change with it on a reload."""
 
     def __init__(self, deliver: Callable[[HostList], None]) -> None:
         self._deliver = deliver
@@ -190,15 +190,16 @@
         return ""
 
     def resume(self, source: str, revision: int) -> None:
-        """Its lists are whole ones: there is nothing to go on from."""
+        """Do nothing: each of its lists is whole, so there is no revision to continue from."""
 
     def replace_hosts(self, addresses: list[Address]) -> None:
+        """Deliver a list of these hosts in place of the one before."""
         self._revision += 1
         self._deliver(whole_list(map(_host_and_port, addresses), self._revision))
 
 
 class _Reloader:
-    """On SIGHUP: check the file again; take what may change, and tell what waits for a restart."""
+    """On SIGHUP: check the file again, apply what may change, and log what waits for a restart."""
 
     def __init__(self, loaded: Loaded) -> None:
         self._started = self._loaded = loaded
@@ -219,7 +220,7 @@
             apply_settings(self._runtime_settings(new.model))
 
     def _runtime_settings(self, new: schema.Model) -> RuntimeSettings:
-        """What is in force from now on; limits and the zone are those of the start."""
+        """Return the settings to apply; limits and the zone are those of the start."""
         started = self._started.model
         return RuntimeSettings(
             replace(settings(new), zone=started.discovery.zone),
@@ -233,7 +234,7 @@
 
     def _update_hosts(self, old: schema.Discovery, new: schema.Discovery, host_source: HostSource) -> None:
         if new.source is not self._started.model.discovery.source:
-            return  # told already: it waits for the next start
+            return  # already logged: a change of source waits for the next start
         if isinstance(host_source, _StaticHostSource) and new.hosts != old.hosts:
             host_source.replace_hosts(new.hosts)
         elif isinstance(host_source, HostFile):
--- a/whinrouter/signals.py
+++ b/whinrouter/signals.py
@@ -1,13 +1,15 @@
-"""The signals that a serving process acts on, held back wherever it can't act on them.
+"""The signals that a serving process handles, blocked while it can't handle them.
 
-Theory of operation. A signal that comes before a handler stands, or after the loop has given the default
-action back, would end the process. So they are blocked in both times: `hold` comes before the large imports
-of a program, `release` once handlers stand, and `hold` again as the loop is about to close, for good. What is
-blocked is kept by the system: a SIGTERM or SIGHUP of the first instants is acted on after `release`.
+A signal that arrives before its handler is installed, or after the event loop has restored the default
+action, would end the process. Signals are therefore blocked at both times: `block` is called before a
+program's large imports, `unblock` once the handlers are installed, and `block` again as the loop is about to
+close, for good. The system keeps a blocked signal pending: a SIGTERM or SIGHUP of the first instants is
+handled after `unblock`.
 
-    HELD --release--> ACTED ON --hold--> HELD, to the exit
+    BLOCKED --unblock--> HANDLED --block--> BLOCKED, until the exit
 
-Whoever starts a process covers the instants before its first line: see `run` in deploy/balancer.toml.
+The instants before a process's first line are covered by the command that starts it: see `run` in
+deploy/balancer.toml.
 """
 
 from __future__ import annotations
@@ -19,10 +21,10 @@
 
 
 def block() -> None:
-    """Have the system keep these signals until `release`."""
+    """Block all handled signals until `unblock`."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock(handled: Iterable[signal.Signals]) -> None:
-    """Handlers of these signals stand: act on what came meanwhile, and from now on at once."""
+    """Unblock these signals, whose handlers are installed; pending ones are handled at once."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, handled)
--- a/whinrouter/streaming/__init__.py
+++ b/whinrouter/streaming/__init__.py
@@ -1,1 +1,1 @@
-"""Bodies that are passed on while they come. No I/O."""
+"""Bodies that are passed on while they arrive. No I/O."""
--- a/whinrouter/streaming/flow.py
+++ b/whinrouter/streaming/flow.py
@@ -1,21 +1,21 @@
-"""A body on its way from one connection to another.
+"""A body that is passed from one connection, the source, to another, the sink, while it arrives.
 
-Theory of operation. Whoever reads the body (the source) puts in what came; whoever sends it on (the sink)
-takes it at once. Nothing is gathered but what comes while there is no sink, or while the sink says that it
-has enough: then the source is told to read no more, and what it had read already is all that is held:
-`MOST` and one read.
+Theory of operation. The source puts in what it has read, and the sink is given it at once. Data is buffered
+only while there is no sink, or while the sink is full. The source is told to pause reading then, and what it
+had read already is all that is buffered: `MAX_BUFFERED_BYTES` and one read.
 
-    FILLING --attach--> FLOWING --end--> ENDED            (detach: back to FILLING, if all is here still)
-    either  --fail----> BROKEN: the sink is told, and ends so that its reader can tell
-    either  --cancel--> BROKEN: the source is told, and reads no more
-    either  --discard-> DISCARDING: nobody wants the rest; it is read and dropped
+    FILLING --attach--> FLOWING --end--> ENDED       (detach: back to FILLING, if nothing was sent yet)
+    either  --fail----> BROKEN: the sink is told to abort, in a way that its reader notices
+    either  --cancel--> BROKEN: the source is told to cancel, and reads no more
+    either  --discard-> DISCARDING: nobody wants the rest, which is read and dropped
 
-What was given to a sink can't be had again: `begun` says so, and the request whose body this is can't be
-sent to another host any more.
+Data that was given to a sink is not kept: once `is_partly_sent` is set, the request whose body this is can't
+be sent to another host any more.
 
-Who moves nothing is found by `overdue`: the source has `GRACE` seconds and what its bytes have earned at
-`FLOOR`, and never more than `GRACE` ahead, so that neither silence nor a trickle holds a place; while the
-sink has enough the time is the sink's, which has `TAKES`. Times are seconds of one clock; it reads none.
+`is_overdue` finds the side that makes no progress. The source has a grace period and the time that its bytes
+have earned at a least rate (`RateFloor`), so that neither silence nor a trickle keeps a connection. While the
+sink is full the time is the sink's: `READER_TIMEOUT_SECONDS`. Times are seconds of one clock, which the
+caller reads; there is no I/O.
 """
 
 from __future__ import annotations
@@ -23,23 +23,24 @@
 from enum import Enum
 from typing import Protocol
 
-MAX_BUFFERED_BYTES = 64 * 1024  # bytes that are held for want of a sink, beside one read
-# Bytes a second that a client's body comes with at least: half of what the slowest honest one is known for.
+MAX_BUFFERED_BYTES = 64 * 1024  # above this the source is paused; one read may come on top
+# The least rate of a client's body, in bytes a second: half the rate of the slowest legitimate client known.
 MIN_BODY_RATE = 32_000.0
-GRACE_SECONDS = 2.0  # seconds of silence that a client may have
-STALL_SECONDS = 10.0  # and a host: long waits of theirs were within a few seconds
-# Seconds in which whoever takes what is passed on shows that it does. A system tells that its program has
-# read only once a sixteenth of its buffer is free again, and the buffer grows with what was once read fast:
-# readers at `FLOOR` showed nothing for up to 16.3 s in one run and 10.2 in another (`benchmarks.reading`).
+GRACE_SECONDS = 2.0  # a client may be silent for this long
+STALL_SECONDS = 10.0  # a host may be silent for this long: legitimate pauses of hosts were a few seconds
+# Time within which the reader of a streamed body has to show progress. The kernel reports that a program has
+# read only once a sixteenth of its receive buffer is free again, and the buffer grows with what was once read
+# fast: readers at `MIN_BODY_RATE` showed no progress for up to 16.3 s in one run and 10.2 s in another
+# (`benchmarks.reading`).
 READER_TIMEOUT_SECONDS = 20.0
 
 
 class RateFloor:
-    """The time by which a peer has to have sent more, where it must keep a least rate.
+    """The deadline by which a peer that must keep a least rate has to send more.
 
-    Each byte earns `1 / floor` seconds, but the peer is never more than `grace` seconds ahead: neither
-    silence nor a trickle holds a connection, and a peer above the floor is never cut off. It reads no clock;
-    times are seconds of the caller's.
+    Each byte earns `1 / floor` seconds, but the deadline is never more than `grace` seconds ahead. Neither
+    silence nor a trickle keeps a connection, and a peer above the floor is never cut off. Times are seconds
+    of the caller's clock.
     """
 
     __slots__ = ("_floor", "_grace", "due")
@@ -50,7 +51,7 @@
         self.due = now + grace
 
     def credit(self, count: int, now: float) -> None:
-        """So many bytes have come; that they were read late is not held against the peer."""
+        """Extend the deadline for bytes that arrived; a peer is not blamed for bytes that were read late."""
         earned = count / self._floor if self._floor else self._grace
         self.due = min(now + self._grace, max(self.due, now) + earned)
 
@@ -65,27 +66,27 @@
         """Read again."""
 
     def cancel_reading(self) -> None:
-        """Nobody takes the rest: end it."""
+        """The rest is not wanted: end the exchange."""
 
 
 class Sink(Protocol):
     """The connection that a body is written to."""
 
     def write_body(self, data: bytes) -> None:
-        """Send this on."""
+        """Send a piece of the body."""
 
     def finish_body(self) -> None:
-        """That was all of it."""
+        """The body is whole."""
 
     def abort_body(self) -> None:
-        """The rest will not come: end so that the reader can tell."""
+        """The rest will not come: end the exchange so that its reader notices."""
 
     def bytes_delivered(self) -> int:
-        """Bytes that its reader has had by now; -1 if nobody can tell."""
+        """Bytes that the reader has received so far; -1 if that is not known."""
 
 
 class Stage(Enum):
-    """How far a body is."""
+    """The progress of a body."""
 
     FILLING = "filling"
     FLOWING = "flowing"
@@ -95,23 +96,26 @@
 
 
 class Flow:
-    """One body, whole or from behind what was kept of it."""
+    """One body, or the part of one that follows what was buffered with its message."""
 
     def __init__(self, source: Source, length: int | None, now: float, grace: float, floor: float) -> None:
-        """`length`: bytes of the whole body, as told; None: it is not told. `floor` 0: no floor of rate."""
+        """`length`: bytes of the whole body as announced, None if it was not.
+
+        `grace` and `floor` are those of `RateFloor`: seconds, and bytes a second (0: no least rate).
+        """
         self.length = length
         self.stage = Stage.FILLING
-        self.is_partly_sent = False  # a part of it can't be had again
-        self.is_received = False  # all of it is here, or has gone on
+        self.is_partly_sent = False  # a sink was given a part, which is not kept
+        self.is_received = False  # the source has read the whole body
         self._source = source
         self._sink: Sink | None = None
         self._buffer: list[bytes] = []
         self._buffered_bytes = 0
-        self._is_sink_full = False  # the sink has enough
-        self._is_paused = False  # the source reads no more
+        self._is_sink_full = False
+        self._is_paused = False  # the source was told to pause reading
         self._grace = grace
         self._rate_floor = RateFloor(now, grace, floor)
-        self._delivered = -1  # what the sink's reader had when that was last looked at
+        self._delivered = -1  # what the sink reported as delivered when it was last asked
 
     @property
     def is_source_paused(self) -> bool:
@@ -120,32 +124,32 @@
 
     @property
     def source(self) -> Source:
-        """Where it comes from."""
+        """The connection that the body comes from."""
         return self._source
 
     @property
     def sink(self) -> Sink | None:
-        """Where it goes."""
+        """The connection that the body goes to; None before `attach` and at the end."""
         return self._sink
 
     @property
     def unsent(self) -> bytes:
-        """What was put in and has not gone to the sink."""
+        """The buffered data, which the sink was not given yet."""
         return b"".join(self._buffer)
 
     def release(self) -> None:
-        """Somebody else goes on with it: neither side is told anything more."""
+        """Another process continues the body: neither side is called any more."""
         self.stage, self._sink, self._buffer, self._buffered_bytes = Stage.ENDED, None, [], 0
 
     def __repr__(self) -> str:
-        progress = "all here" if self.is_received else "to come"
+        progress = "received" if self.is_received else "arriving"
         return (
             f"{self.stage.value}, {progress}, {'sink full' if self._is_sink_full else 'sink open'}, "
             f"{self._buffered_bytes} bytes buffered"
         )
 
     def put(self, data: bytes, now: float) -> None:
-        """The source has read this."""
+        """Take data that the source has read."""
         self._rate_floor.credit(len(data), now)
         if self.stage is Stage.FLOWING and not self._is_sink_full and self._sink is not None:
             self.is_partly_sent = True
@@ -156,7 +160,7 @@
         self._update_source(now)
 
     def _update_source(self, now: float) -> None:
-        """Hold the source while more would have to be kept, and no longer."""
+        """Pause the source exactly while more data would have to be buffered."""
         should_pause = (
             self._is_sink_full if self.stage is Stage.FLOWING else self._buffered_bytes > MAX_BUFFERED_BYTES
         )
@@ -168,9 +172,9 @@
             self._source.resume_reading()
 
     def end(self) -> None:
-        """The source has read all of it."""
+        """The source has read the whole body."""
         self.is_received = True
-        if self._is_paused:  # whatever comes behind it is not this body's
+        if self._is_paused:  # what follows the body on its connection has to be read
             self._is_paused = False
             self._source.resume_reading()
         if self.stage is Stage.DISCARDING:
@@ -183,7 +187,7 @@
             self._sink.finish_body()
 
     def attach(self, sink: Sink, now: float) -> None:
-        """From now on all of it goes here; what is held goes at once."""
+        """Send the body to this sink, beginning with the buffered data."""
         self._sink, self.stage, self._is_sink_full = sink, Stage.FLOWING, False
         self._drain(now)
 
@@ -197,23 +201,21 @@
         self._update_source(now)
 
     def detach(self, now: float) -> None:
-        """The sink is gone; another may come if nothing was lost with it."""
+        """The sink is gone; another one may be attached if this one was given nothing."""
         self._sink = None
         if self.stage is Stage.FLOWING:
             self.stage = Stage.FILLING
-            self._is_sink_full, self._rate_floor.due = (
-                False,
-                now + STALL_SECONDS,
-            )  # not the time of a sink that has left
+            # The source must not inherit the longer time of a sink that was full.
+            self._is_sink_full, self._rate_floor.due = False, now + STALL_SECONDS
             self._update_source(now)
 
     def sink_full(self, now: float) -> None:
-        """The sink has enough for now."""
+        """The sink accepts no more for now."""
         self._is_sink_full, self._rate_floor.due = True, now + READER_TIMEOUT_SECONDS
         self._update_source(now)
 
     def sink_ready(self, now: float) -> None:
-        """The sink takes more."""
+        """The sink accepts data again."""
         self._is_sink_full, self._rate_floor.due = False, now + self._grace
         if self.stage is Stage.FLOWING:
             self._drain(now)
@@ -236,7 +238,7 @@
             sink.abort_body()
 
     def cancel(self) -> None:
-        """The sink broke for good, and nobody else is to have it."""
+        """The sink broke, and no other one will be attached."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return
         self.stage, self._sink, self._buffer, self._buffered_bytes = Stage.BROKEN, None, [], 0
@@ -244,16 +246,17 @@
             self._source.cancel_reading()
 
     def is_overdue(self, now: float) -> bool:
-        """Whether whoever is to move it has not for too long."""
+        """Whether the side that is to make progress has made none for too long."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return False
-        # Of one that is here as a whole nobody owes anything but a sink that has enough.
+        # Once the body is received, only a sink that is full can be late.
         if now < self._rate_floor.due or (self.is_received and not self._is_sink_full):
             return False
         if not self._is_sink_full or self._sink is None:
             return True
-        # The system takes more only once a good part of what it holds is gone, some megabytes: a reader of
-        # 64 kB a second took longer over that, and was cut off though it read all the time.
+        # The kernel accepts more only once a good part of its send buffer, some megabytes, has left. A reader
+        # of 64 kB/s took longer over that and was cut off although it read all the time, so the bytes that
+        # reached it count.
         before, self._delivered = self._delivered, self._sink.bytes_delivered()
         if self._delivered <= before:
             return True
--- a/whinrouter/streaming/remainder.py
+++ b/whinrouter/streaming/remainder.py
@@ -1,8 +1,9 @@
-"""What is still to come of a body, in a form that another process can go on from. No I/O, no clock.
+"""The part of a body that has not been read yet, in a form that another process can continue from.
 
-A body's rest is told by its framing alone: so many bytes, all up to the connection's end, or chunks of which
-the one that is under way has so many bytes left, none if the size of the next one comes first. Whoever goes
-on has a fresh parser, which is given a head of that framing first.
+The framing of a body is enough to describe its remainder: a number of bytes, everything up to the end of the
+connection, or chunks, of which the current one has a number of bytes left (0 if the size of the next chunk
+comes first). The process that continues has a new parser, which is first fed a message head with that
+framing. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -12,13 +13,11 @@
 
 import httptools
 
-MAX_SIZE_LINE_BYTES = (
-    256  # bytes of a line with a chunk's size that are looked at, to tell what is left of it
-)
+MAX_SIZE_LINE_BYTES = 256  # bytes in front of a chunk's data that are searched for the line with its size
 
 
 class Framing(Enum):
-    """How the end of a body is told."""
+    """How the end of a body is determined."""
 
     LENGTH = "length"
     CHUNKED = "chunked"
@@ -26,66 +25,66 @@
 
 
 class Remainder(NamedTuple):
-    """The rest of one body."""
+    """The part of one body that has not been read yet."""
 
     framing: Framing
-    bytes_left: int  # of the body, of its present chunk, or 0 where its connection's end tells
+    bytes_left: int  # of the body or of its current chunk; 0 if the body extends to the connection's end
 
 
 @runtime_checkable
 class MovableSource(Protocol):
-    """A connection that a body comes from, and that another process can go on reading."""
+    """A connection whose body another process can continue to read."""
 
     def remainder(self) -> Remainder | None:
-        """What is still to come behind the last byte that was read; None if that can't be told now."""
+        """What follows the last byte that was read; None if that is not known now."""
 
     @property
     def descriptor(self) -> int:
-        """Its socket's."""
+        """The file descriptor of the socket."""
 
     def release(self) -> None:
-        """Another process holds it: close it here, without a word to the peer."""
+        """Close the connection here without sending anything: another process has taken it over."""
 
 
 class BrokenRemainderError(Exception):
-    """What comes is no rest of such a body."""
+    """The data is no valid remainder of the body."""
 
 
 class ChunkTracker:
-    """Keeps count of what is left of the chunk that the latest read of a body ended in.
+    """Counts the bytes that are left of the chunk in which the latest read of a body ended.
 
-    The parser tells where chunks begin and end and gives out their bytes; how many are left of one it does
-    not tell, and the line with a chunk's size may have come in an earlier read.
+    The parser reports the start, the end and the data of each chunk, but not how many bytes of one are left;
+    and the line with the chunk's size may have arrived in an earlier read.
     """
 
     def __init__(self, bytes_left: int | None = None) -> None:
-        self.bytes_left = (
-            bytes_left  # of the present chunk; 0: the next one's size comes next; None: nobody can tell
-        )
-        self._at_end = 0  # bytes of the latest read, at its end, that are of a chunk that goes on
-        self._is_between = bytes_left == 0  # the parser waits for a chunk's size
-        self._before = b"\r\n" if bytes_left == 0 else b""  # the latest bytes that were fed
+        # Of the current chunk; 0: the size of the next chunk follows; None: not known.
+        self.bytes_left = bytes_left
+        self._at_end = 0  # bytes at the end of the latest read that belong to an unfinished chunk
+        self._is_between = bytes_left == 0  # the parser expects a chunk's size
+        self._before = b"\r\n" if bytes_left == 0 else b""  # the last bytes that were fed to the parser
 
     def begin_read(self) -> None:
-        """A read is fed to the parser."""
+        """The data of a read is about to be fed to the parser."""
         self._at_end = 0
 
     def add(self, count: int) -> None:
-        """The parser gave out so many bytes of a chunk."""
+        """The parser has reported this many bytes of a chunk."""
         self._at_end += count
 
     def chunk_started(self) -> None:
-        """The line with a chunk's size is whole."""
+        """The parser has read the line with a chunk's size."""
         self._at_end, self._is_between = 0, False
 
     def chunk_ended(self) -> None:
-        """A chunk is whole, or the head in front of the first."""
+        """A chunk, or the message head before the first one, is whole."""
         self._at_end, self._is_between = 0, True
 
     def end_read(self, data: bytes | memoryview) -> None:
-        """The parser has used up a read."""
+        """The parser has consumed all data of a read."""
         if self._at_end >= len(data) and self.bytes_left:
-            self.bytes_left = self.bytes_left - len(data) or None  # the end of its line is still to come
+            # None at the end of the data, as the CRLF behind it has not arrived.
+            self.bytes_left = self.bytes_left - len(data) or None
         else:
             begins = len(data) - self._at_end
             before = bytes(data[max(0, begins - MAX_SIZE_LINE_BYTES) : begins])
@@ -93,26 +92,26 @@
                 before = self._before + before
             self.bytes_left = chunk_bytes_left(before, self._at_end)
         self._before = (self._before + bytes(data[-MAX_SIZE_LINE_BYTES:]))[-MAX_SIZE_LINE_BYTES:]
-        if self._is_between and self._before.endswith(b"\r\n"):  # nothing of the next size has come
+        if self._is_between and self._before.endswith(b"\r\n"):  # no byte of the next size has arrived
             self.bytes_left = 0
 
 
 class RemainderReader:
-    """Takes the rest of a body as its connection brings it, and gives out the body's bytes."""
+    """Decodes the remainder of a body as it arrives."""
 
     def __init__(self, remainder: Remainder) -> None:
         self._framing = remainder.framing
-        self._bytes_left = remainder.bytes_left  # of a body whose length is told
+        self._bytes_left = remainder.bytes_left  # only of a body with a length
         self.is_whole = False
-        self.has_surplus = False  # bytes came behind the body
+        self.has_surplus = False  # bytes arrived behind the body
         self._body: list[bytes] = []
         self._chunks = ChunkTracker(remainder.bytes_left)
         self._parser = httptools.HttpResponseParser(self)
         self._parser.feed_data(response_head(remainder))
-        self._chunks = ChunkTracker(remainder.bytes_left)  # the head's own chunk line is none of the body's
+        self._chunks = ChunkTracker(remainder.bytes_left)  # again, as the head fed its own size line
 
     def feed(self, data: bytes) -> bytes:
-        """The bytes of the body in what came; BrokenRemainderError if it can't be read."""
+        """Return the body's bytes in `data`; BrokenRemainderError if `data` is malformed."""
         if self.is_whole:
             self.has_surplus = self.has_surplus or bool(data)
             return b""
@@ -132,12 +131,12 @@
         return body
 
     def remainder(self) -> Remainder | None:
-        """What is still to come; None if that can't be told now."""
+        """What has not been read yet; None if that is not known now, or the body is whole."""
         bytes_left = self._chunks.bytes_left if self._framing is Framing.CHUNKED else self._bytes_left
         return None if bytes_left is None or self.is_whole else Remainder(self._framing, bytes_left)
 
     def end(self) -> bool:
-        """The connection has ended; whether the body is whole with it."""
+        """The connection has ended; return whether the body is whole."""
         self.is_whole = self.is_whole or self._framing is Framing.CONNECTION_END
         return self.is_whole
 
@@ -160,12 +159,12 @@
 
 
 def response_head(remainder: Remainder) -> bytes:
-    """A head behind which a parser of answers takes the rest of this body."""
+    """A response head behind which a parser accepts this remainder."""
     return b"HTTP/1.1 200 OK\r\n" + _framing_lines(remainder)
 
 
 def request_head(remainder: Remainder) -> bytes:
-    """A head behind which a parser of requests takes the rest of this body."""
+    """A request head behind which a parser accepts this remainder."""
     return b"POST / HTTP/1.1\r\n" + _framing_lines(remainder)
 
 
@@ -181,10 +180,10 @@
 
 
 def chunk_bytes_left(before: bytes, received: int) -> int | None:
-    """Bytes that are left of a chunk of which so many came; None if that can't be told.
+    """Bytes that are left of a chunk of which `received` bytes have arrived; None if that is not known.
 
-    `before`: the raw bytes before them, which end with the line that tells the chunk's size. That line has to
-    be there as a whole, with the end of the one before it.
+    `before`: the raw bytes in front of these, which end with the line that has the chunk's size. The whole
+    line has to be there, with the CRLF that precedes it.
     """
     if received <= 0 or not before.endswith(b"\r\n"):
         return None
--- a/whinrouter/wire.py
+++ b/whinrouter/wire.py
@@ -1,4 +1,4 @@
-"""Between the simulator's wire and the library's words; no decisions here."""
+"""Translates between the simulator's JSON messages and the events and actions of the decision module."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def parse_settings(setup: Mapping[str, Any]) -> Settings:
-    """Read the settings of an instance; unknown keys are passed over, absent ones keep their defaults."""
+    """Read the settings of an instance. Unknown keys are ignored; absent ones get their defaults."""
     permissions = setup.get("permissions") or {}
     invariants = setup.get("invariants") or {}
     fees = setup.get("fees") or {}
@@ -65,7 +65,7 @@
     balancers = int(setup.get("balancers") or 1)
     over_allowance_worth = setup.get("overShareWorth")
     return Settings(
-        classes=tuple(_request_class(entry) for entry in setup.get("classes") or ()),
+        classes=tuple(_parse_request_class(entry) for entry in setup.get("classes") or ()),
         zone=str(setup.get("locality") or ""),
         balancers=balancers,
         rank=int(setup.get("rank") or 0),
@@ -95,7 +95,7 @@
     )
 
 
-def _request_class(entry: Mapping[str, Any]) -> RequestClass:
+def _parse_request_class(entry: Mapping[str, Any]) -> RequestClass:
     return RequestClass(
         name=str(entry.get("name")),
         aim=int(entry.get("onTime") or 0),
@@ -108,7 +108,7 @@
     )
 
 
-def _server(entry: Mapping[str, Any]) -> Server:
+def _parse_server(entry: Mapping[str, Any]) -> Server:
     return Server(
         id=entry["host"],
         state=_STATES.get(entry.get("stageState") or "", State.DRAINING),
@@ -121,7 +121,7 @@
 
 
 def parse_event(message: Message) -> Event | None:
-    """Translate one event; None for one the decisions have no use for."""
+    """Translate one event; None if the decision module does not use it."""
     verb = message["verb"]
     if verb == "order":
         return Request(
@@ -149,7 +149,7 @@
         outcome = _OUTCOMES.get(message["rc"], Outcome.UNKNOWN)
         return ProbeEnded(message["host"], outcome, message["duration"], message.get("feedback"))
     if verb == "discovery":
-        servers = tuple(_server(entry) for entry in message.get("elements") or ())
+        servers = tuple(_parse_server(entry) for entry in message.get("elements") or ())
         return ServerList(_UPDATES.get(message.get("how") or "", Update.CHANGES), servers)
     if verb == "expired":
         return RequestGone(message["corr"])
