--- a/benchmarks/farm.py
+++ b/benchmarks/farm.py
@@ -143,7 +143,7 @@
 
     pool: list[_UpstreamConnection] = []  # noqa: RUF012
     ports: Sequence[int] = ()
-    count = 0
+    connection_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -172,8 +172,8 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _connect(self, request_bytes: bytes) -> None:
-        _Forwarder.count += 1
-        port = self.ports[_Forwarder.count % len(self.ports)]
+        _Forwarder.connection_count += 1
+        port = self.ports[_Forwarder.connection_count % len(self.ports)]
         _, upstream = await asyncio.get_running_loop().create_connection(
             _UpstreamConnection, "127.0.0.1", port
         )
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -148,7 +148,7 @@
         scenario.host_log.writers[f"before-{name}"].write(SMALL_ANSWER)
 
 
-async def before_a_repeat(scenario: Scenario, case_log: CaseLog) -> None:
+async def before_a_retry(scenario: Scenario, case_log: CaseLog) -> None:
     """The first attempt is turned away when the client leaves."""
     case_log.sends_expected = 1
     clients = [(f"again-{index}", scenario.client()) for index in range(scenario.case_count)]
@@ -160,7 +160,7 @@
         scenario.host_log.writers[name].write(NOT_RUN_ANSWER)
 
 
-async def before_a_copy(scenario: Scenario, case_log: CaseLog) -> None:
+async def before_a_hedge(scenario: Scenario, case_log: CaseLog) -> None:
     """The first attempt gets no answer, and a hedge is due some time after the client has left."""
     case_log.sends_expected = 1
     clients = [(f"copy-{index}", scenario.client()) for index in range(scenario.case_count)]
@@ -184,7 +184,7 @@
         case_log.disconnect(name, client, bool(index % 2))
 
 
-async def unread(scenario: Scenario, case_log: CaseLog) -> None:
+async def gateway_stopped(scenario: Scenario, case_log: CaseLog) -> None:
     """The gateway's process is stopped while the client sends its request and leaves."""
     clients = [(f"stopped-{index}", scenario.client()) for index in range(scenario.case_count)]
     await asyncio.sleep(0.2)
@@ -197,7 +197,7 @@
 
 
 async def not_accepted(scenario: Scenario, case_log: CaseLog) -> None:
-    """As `unread`, with a connection that the gateway has not accepted."""
+    """As `gateway_stopped`, with a connection that the gateway has not accepted."""
     os.kill(scenario.pid, signal.SIGSTOP)
     for index in range(scenario.case_count):
         client = scenario.client()
@@ -209,11 +209,11 @@
 
 ScenarioFunction = Callable[[Scenario, CaseLog], Awaitable[None]]
 REACHABLE_SCENARIOS: tuple[ScenarioFunction, ...] = (
-    before_a_repeat,
+    before_a_retry,
     behind_another,
-    before_a_copy,
+    before_a_hedge,
     answer_unread,
-    unread,
+    gateway_stopped,
     not_accepted,
 )
 UNREACHABLE_SCENARIOS: tuple[ScenarioFunction, ...] = (connection_late, half_a_body)
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -192,7 +192,7 @@
 
 
 def _count_instructions(name: str, hosts: int, count: int) -> int:
-    """Return the instructions that a process executes which runs one step this many times."""
+    """Return the number of instructions of a process that runs one step `count` times."""
     with tempfile.TemporaryDirectory() as folder:
         output = Path(folder) / "out"
         command = ["valgrind", "--tool=callgrind", f"--callgrind-out-file={output}", sys.executable, "-m"]
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -21,7 +21,7 @@
 BAD_CLIENT_TIMEOUT_SECONDS = 3.0  # within which a misbehaving client must get an error or be disconnected
 UPLOAD_RATE = 200_000.0  # bytes per second
 SLOW_UPLOAD_RATE, SLOW_UPLOAD_SHARE = 64_000.0, 0.3  # of the slowest well-behaved clients; share of uploads
-SLOW_UPLOAD_BYTES = (200_000, 600_000)  # 3 to 9 s, longer than a process lives that has been replaced
+SLOW_UPLOAD_BYTES = (200_000, 600_000)  # 3 to 9 s, longer than a replaced process keeps running
 KILL_WINDOW_SECONDS = 0.5  # around a kill, in which requests on a connection may get no answer
 MAX_IDLE_CONNECTIONS = 40  # kept by the clients to one gateway
 MALFORMED_REQUESTS = (
@@ -283,7 +283,7 @@
         except TimeoutError:
             if not was_disrupted(gateway, began_at):
                 self._ledger.immediate_violations.append(
-                    Violation("bad-client", "", f"held by gateway {gateway}")
+                    Violation("bad-client", "", f"neither answered nor closed by gateway {gateway}")
                 )
             response = None
         if response is not None and response[0] < 400:
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -36,7 +36,10 @@
 
 
 def gateway_command(tree: Path) -> str:
-    """Return the `run` command of a checkout's deploy file, with this interpreter for the built one."""
+    """Return the `run` command of a checkout's deploy file, with this interpreter instead of the built one.
+
+    The sources of the checkout are run: `start` puts them on PYTHONPATH.
+    """
     command: str = tomllib.loads((tree / "deploy" / "balancer.toml").read_text())["run"]
     return command.replace(".venv/bin/python", sys.executable)
 
--- a/benchmarks/soak/hosts.py
+++ b/benchmarks/soak/hosts.py
@@ -35,7 +35,7 @@
     ports: dict[int, int] = field(default_factory=dict)  # by gateway
     servers: list[asyncio.Server] = field(default_factory=list)
     connections: set[HostConnection] = field(default_factory=set)
-    busy_until: float = 0.0  # a cold host runs its requests one after the other
+    busy_until: float = 0.0  # a cold host runs its requests one after the other, at its present capacity
 
     async def listen(self, gateways: int) -> None:
         """Listen at a new port for each gateway."""
@@ -174,7 +174,11 @@
             )
 
     def _send_again(self, data: bytes) -> None:
-        """Send a second answer within a few milliseconds; a gateway could not tell a later one apart."""
+        """Send a second answer within a few milliseconds.
+
+        If it came later, the connection could be in use again, and no gateway could tell the second answer
+        from the answer to the next request.
+        """
         delay = self._host.random.uniform(0.0, 0.004)
         asyncio.get_running_loop().call_later(delay, self._write, data, None)
 
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -393,7 +393,7 @@
             if gateway == rank and self.registry.hosts[host][1] == "Ready":
                 self.ledger.allow_attempts(rank, host, started_at, self.now())
 
-    def inside(self) -> list[str]:
+    def logged_violations(self) -> list[str]:
         """Return the violations that the gateways logged, and the first line of each traceback."""
         found = []
         for gateway in self.gateways:
@@ -406,7 +406,7 @@
                     found.append(f"gateway {gateway.rank}: {line.decode(errors='replace')}")
         return found
 
-    def traces(self, violations: list[Violation]) -> list[str]:
+    def logged_events(self, violations: list[Violation]) -> list[str]:
         """Return the events that the gateways logged for the violating requests, as far as they are kept."""
         found = []
         names = {violation.request for violation in violations if violation.request}
@@ -426,8 +426,8 @@
         return Result(
             self.plan,
             violations,
-            self.inside(),
-            self.traces(violations),
+            self.logged_violations(),
+            self.logged_events(violations),
             len(requests),
             len(self.ledger.attempts),
             sum(request.status == 200 for request in requests),
--- a/benchmarks/streaming.py
+++ b/benchmarks/streaming.py
@@ -167,7 +167,7 @@
 
 
 def peak_memory_mb(pid: int) -> float:
-    """Return the peak resident memory of a process."""
+    """Return the peak resident memory of a process in MiB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmHWM")).split()[1]) / 1024
 
--- a/standins/coldstart.py
+++ b/standins/coldstart.py
@@ -1,8 +1,9 @@
 """A model of servers that warm up after a start, and collapse if they are sent too much meanwhile.
 
-A server's capacity rises linearly from a share to the whole. Within any window of a given length it bears a
-budget of N requests of mean work: a multiple of what it can do in that time, by its present capacity. It
-collapses beyond N by more than two roots of N, and two. The balancers' settings have the same figures.
+A server's capacity rises linearly from a share to the whole. Within any window of a given length it has a
+budget of N requests of mean work: a multiple of what it can do in that time at its present capacity. It
+collapses if the work sent to it exceeds N by more than 2 * sqrt(N) + 2. The balancers' settings have the same
+figures.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
     capacity: float  # requests of mean work per microsecond, when it is warm
     mean_work: float
     worst_excess: float = -inf  # most that was sent beyond the budget, in square roots of the budget
-    is_overloaded: bool = False  # it was sent so much that it collapses
+    is_overloaded: bool = False  # the work sent to the server makes it collapse
     _recent_work: deque[tuple[int, float]] = field(default_factory=deque)
     _recent_sum: float = 0.0
 
--- a/standins/faults.c
+++ b/standins/faults.c
@@ -2,13 +2,14 @@
  *
  * Environment variables:
  *
- *   FAULTS_CALLS  "accept:50,connect:50,...": one call of a kind in so many fails on average
+ *   FAULTS_CALLS  "accept:50,connect:50,...": on average one call in 50 of that kind fails
  *                 accept   ECONNABORTED, EPROTO, EMFILE, ENFILE, ENOBUFS, ENOMEM; the connection stays queued
  *                 connect  EADDRNOTAVAIL, ENOBUFS, ENETUNREACH, before anything is sent
  *                 socket   EMFILE, ENFILE, ENOBUFS, ENOMEM, of TCP sockets
  *                 read     a short count
  *                 write    a short count
- *                 broken   ETIMEDOUT or EHOSTUNREACH from a read of an outgoing connection, which is shut
+ *                 broken   ETIMEDOUT or EHOSTUNREACH from a read of an outgoing connection;
+ *                          the connection is shut down
  *                 wait     EINTR from epoll_wait
  *   FAULTS_SEED   a number that seeds the random generator together with the process id
  *   FAULTS_STEPS  "3600,-5,0": offsets of the wall clock in seconds, one after the other
@@ -45,7 +46,7 @@
 #define MAX_DESCRIPTORS 65536
 static unsigned char is_outgoing[MAX_DESCRIPTORS]; /* by descriptor: connect() was called with AF_INET */
 
-/* The function that this library overrides. */
+/* The next definition of a function that this library overrides: the real system call. */
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 __attribute__((constructor)) static void configure(void) {
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -7,8 +7,8 @@
 after a cancel. Clients retry only after a refusal, or after a failure if the request is safe to repeat. The
 seed determines everything.
 
-It tests the decisions under settings that they were not tuned for; it does not predict figures of a
-deployment.
+It is for tests of the decisions under settings that they were not tuned for. It does not predict figures of
+any deployment.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class Burst:
-    """A multiple of the load over some time."""
+    """A multiple of the load from one moment to another, in microseconds since the start of the run."""
 
     starts_at: int
     ends_at: int
@@ -85,9 +85,11 @@
 
 @dataclass
 class Machine:
-    """One server. It is overloaded by more than `overload_threshold` requests per core over `overload_delay`.
+    """One server, which slows down under overload. Times are in microseconds.
 
-    Then it takes `slowdown` times as long, until it has been nearly idle for `recovery_time`.
+    It becomes overloaded once it has held more than `overload_threshold` requests per core for
+    `overload_delay`. Then its work takes `slowdown` times as long, until the server has been nearly idle for
+    `recovery_time`.
     """
 
     id: int
@@ -203,7 +205,7 @@
 
 
 class Gateway:
-    """A balancer with the part of the host program."""
+    """A balancer, and the host program that carries out its actions."""
 
     def __init__(self, fleet: Fleet, settings: Settings, seed: int) -> None:
         self._fleet = fleet
@@ -215,36 +217,38 @@
     def list_servers(self, servers: Sequence[Server]) -> None:
         """Pass a full list of servers to the balancer."""
         self._listed_states = {server.id: server.state for server in servers}
-        self._handle(ServerList(Update.FULL, tuple(servers)))
+        self._handle_event(ServerList(Update.FULL, tuple(servers)))
 
     def submit(self, number: int, request: ClientRequest) -> None:
         """Pass a client's request to the balancer."""
         self._requests[number] = request
-        self._fleet.schedule(request.deadline, lambda: self._expire(number))
+        self._fleet.schedule(request.deadline, lambda: self._expire_request(number))
         name = request.kind.request_class.name
-        self._handle(Request(number, name, request.deadline - self._fleet.now, key=str(request.key)))
+        self._handle_event(Request(number, name, request.deadline - self._fleet.now, key=str(request.key)))
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         for action in self.balancer.handle(event, self._fleet.now):
-            self._execute(action)
+            self._execute_action(action)
 
-    def _execute(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         if isinstance(action, Send):
-            self._send(action)
+            self._send_attempt(action)
         elif isinstance(action, Refuse | Fail):
-            self._answer(
+            self._record_answer(
                 self._requests[action.request], "refused" if isinstance(action, Refuse) else "failed"
             )
         elif isinstance(action, SetTimer):
             token = action.token
-            self._fleet.schedule(self._fleet.now + action.delay, lambda: self._handle(TimerFired(token)))
+            self._fleet.schedule(
+                self._fleet.now + action.delay, lambda: self._handle_event(TimerFired(token))
+            )
         elif isinstance(action, Cancel):
             number, attempt = action.request, action.attempt
             self._fleet.schedule(
                 self._fleet.now, lambda: self._end_attempt(number, attempt, Outcome.CANCELLED)
             )
 
-    def _send(self, action: Send) -> None:
+    def _send_attempt(self, action: Send) -> None:
         fleet, number = self._fleet, action.request
         request = self._requests[number]
         attempt = len(request.attempts)
@@ -254,7 +258,7 @@
             "send to a server that is not ready", self._listed_states.get(action.server) is not State.READY
         )
         fleet.count_violation("send past the deadline", fleet.now >= request.deadline)
-        fleet.serve(
+        fleet.send_attempt(
             self._settings.zone,
             request,
             action.server,
@@ -268,19 +272,19 @@
         record = request.attempts[attempt]
         record.has_ended = True
         if outcome is Outcome.OK and not request.answers:
-            self._answer(request, "served")
+            self._record_answer(request, "served")
         latency, answered = self._fleet.now - record.sent_at, bool(request.answers)
-        self._handle(AttemptEnded(number, attempt, record.server, outcome, latency, answered))
+        self._handle_event(AttemptEnded(number, attempt, record.server, outcome, latency, answered))
         if request.answers and all(each.has_ended for each in request.attempts):
             self._requests.pop(number, None)
 
-    def _answer(self, request: ClientRequest, answer: str) -> None:
+    def _record_answer(self, request: ClientRequest, answer: str) -> None:
         self._fleet.count_violation("second answer", bool(request.answers))
         request.answers.append(answer)
         request.answered_at = self._fleet.now
 
-    def _expire(self, number: int) -> None:
-        """Time out the running attempts at the client's deadline; the balancer answers if it has not yet."""
+    def _expire_request(self, number: int) -> None:
+        """Time out the running attempts at the client's deadline, so that the balancer gives its answer."""
         request = self._requests.get(number)
         if request is None:
             return
@@ -292,7 +296,7 @@
 
 @dataclass
 class Fleet:
-    """The whole fleet. `load` is the share of the capacity of all cores that first tries need."""
+    """The fleet and its clients. `load` is the share of all cores' capacity that first tries need."""
 
     machines: Sequence[Machine]
     request_kinds: Sequence[RequestKind]
@@ -344,7 +348,7 @@
         )
 
     def schedule(self, due: int, callback: Callable[[], None]) -> None:
-        """Call back at a moment of simulated time."""
+        """Call `callback` at the moment `due` of simulated time."""
         heapq.heappush(self._events, (due, next(self._order), callback))
 
     def count_violation(self, rule: str, is_broken: bool) -> None:
@@ -367,7 +371,7 @@
             gateway.list_servers(servers)
 
     def restart(self, server: int) -> None:
-        """Restart a server: its requests are lost after they ran, and its zone's record of keys stays."""
+        """Restart a server: its requests have run, their answers are lost, its zone remembers their keys."""
         old = self._by_id[server]
         new = self._by_id[server] = Machine(
             server,
@@ -388,12 +392,12 @@
         self.list_servers()
 
     def run(self, until: int) -> None:
-        """Run from the start to the end of the arrivals, and on until every event is over."""
+        """Let requests arrive until the moment `until`, and run until no event is left."""
         self.list_servers()
         rate = self.load * sum(each.cores * each.speed for each in self.machines) / self._mean_work
         arrives = 0.0
         while (arrives := arrives + self._random.expovariate(rate * self._load_factor(arrives))) < until:
-            self.schedule(round(arrives), self._arrive)
+            self.schedule(round(arrives), self._on_arrival)
         while self._events:
             self.now, _, callback = heapq.heappop(self._events)
             callback()
@@ -401,7 +405,7 @@
     def _load_factor(self, at: float) -> float:
         return next((burst.factor for burst in self.bursts if burst.starts_at <= at < burst.ends_at), 1.0)
 
-    def _arrive(self) -> None:
+    def _on_arrival(self) -> None:
         kind = self._random.choices(self.request_kinds, [each.share for each in self.request_kinds])[0]
         core_time, wait_time = (
             self._random.expovariate(1 / mean) if mean else 0.0 for mean in (kind.core_time, kind.wait_time)
@@ -428,13 +432,15 @@
             return
         if request.answers[0] == "failed" and request.kind.request_class.effect is not Effect.IDEMPOTENT:
             return
-        again = ClientRequest(
+        retry_request = ClientRequest(
             request.kind, self.now, request.deadline, request.key, request.core_time, request.wait_time
         )
-        submissions.append(again)
-        self._submit(again, submissions)
+        submissions.append(retry_request)
+        self._submit(retry_request, submissions)
 
-    def serve(self, zone: str, request: ClientRequest, server: int, end: Callable[[Outcome], None]) -> None:
+    def send_attempt(
+        self, zone: str, request: ClientRequest, server: int, end: Callable[[Outcome], None]
+    ) -> None:
         """Send an attempt to a server; `end` is called with its outcome."""
         machine = self._by_id[server]
         delay = NETWORK_DELAY if machine.zone == zone else self.cross_zone_delay
@@ -453,7 +459,7 @@
         if any(self._random.random() < fault.error_share for fault in active_faults):
             self.schedule(self.now + FAST_FAILURE_DELAY + delay, lambda: end(Outcome.ERROR))
             return
-        self._execute(machine, request)
+        self._run_request(machine, request)
         if any(fault.is_silent for fault in active_faults):
             return
         machine.update_overload(self.now)  # it may have recovered by now
@@ -473,7 +479,7 @@
         machine.update_overload(self.now)
         self.schedule(self.now + delay, partial(self._unanswered[machine.id].pop(work_id), Outcome.OK))
 
-    def _execute(self, machine: Machine, request: ClientRequest) -> None:
+    def _run_request(self, machine: Machine, request: ClientRequest) -> None:
         """Run a request, unless its key's group drops it as a repeat; count an effect that runs twice."""
         kind, executions = request.kind.request_class, self._executions.setdefault(request.key, [])
         fresh = [zone for zone, at in executions if self.now < at + max(kind.dedup_window, 1)]
--- a/standins/web.py
+++ b/standins/web.py
@@ -53,13 +53,13 @@
             connection.abort()
 
     def count_request(self, request_id: str) -> None:
-        """Count a request that began."""
+        """Count a request that began, by its X-Request-Id."""
         if len(self.request_counts) < MAX_IDS or request_id in self.request_counts:
             self.request_counts[request_id] += 1
 
 
 class _Connection(asyncio.Protocol):
-    """A client's connection; answers each request as the host's mode says."""
+    """A client's connection; answers each request according to the host's mode."""
 
     def __init__(self, host: Host) -> None:
         self._host = host
--- a/tests/control/test_calls.py
+++ b/tests/control/test_calls.py
@@ -55,11 +55,11 @@
 @async_test
 async def test_a_host_stays_out_until_put_back_whatever_is_listed(tmp_path: Path) -> None:
     async with scripted_servers(answers_with(body=b"one"), answers_with(body=b"two"), _watch) as (
-        one,
-        two,
+        first_host,
+        second_host,
         service,
     ):
-        config = platform_config(service.port, one.discovery_entry(), two.discovery_entry())
+        config = platform_config(service.port, first_host.discovery_entry(), second_host.discovery_entry())
         async with running_with_control(tmp_path, config) as (process, port, control):
             assert (await control_call(control, "OFFLINE s-9")).startswith("-ERR")
             assert (await control_call(control, "OFFLINE s-0")).startswith("+OK")
@@ -67,12 +67,19 @@
             await wait_until(lambda: service.requests)
             for revision, phase in enumerate(("Ready", "Gone", "Ready"), 42):
                 service.writers[-1].write(
-                    chunk(line(revision, one.discovery_entry(phase), two.discovery_entry(), complete=False))
+                    chunk(
+                        line(
+                            revision,
+                            first_host.discovery_entry(phase),
+                            second_host.discovery_entry(),
+                            complete=False,
+                        )
+                    )
                 )
             process.send_signal(signal.SIGHUP)
             client = await Client.connect(port)
             assert {(await client.fetch()).body for _ in range(50)} == {b"two"}
-            assert not one.requests
+            assert not first_host.requests
             assert (await control_call(control, "ONLINE s-0")).startswith("+OK")
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while (await client.fetch()).body != b"one":
@@ -89,18 +96,18 @@
             control,
         ),
     ):
-        idler, holder, late = [await Client.connect(port) for _ in range(3)]
-        holder.writer.write(request_text("chapter-buy", {"X-Deadline": ""}))
+        idle_client, waiting_client, late_client = [await Client.connect(port) for _ in range(3)]
+        waiting_client.writer.write(request_text("chapter-buy", {"X-Deadline": ""}))
         await wait_until(lambda: host.requests)
         assert await control_call(control, "LEAVE") == "+OK leaving"
         assert await up_status(port) == 503
         assert (await control_call(control, "HEALTH")).startswith("+OK leaving")
-        late.writer.write(b"GET /up HTTP/1.1\r\n\r\n")
-        answer = await late.read_answer()
+        late_client.writer.write(b"GET /up HTTP/1.1\r\n\r\n")
+        answer = await late_client.read_answer()
         assert (answer.status, answer.keep_alive) == (503, False)
-        assert await idler.read_to_end() == b""
+        assert await idle_client.read_to_end() == b""
         await answers_with(body=b"bought")(host.requests[0], host.request_writers[0])
-        answer = await holder.read_answer()
+        answer = await waiting_client.read_answer()
         assert (answer.body, answer.keep_alive) == (b"bought", False)
         assert await control_call(control, "JOIN") == "+OK serving"
         assert await up_status(port) == 200
@@ -121,16 +128,16 @@
         running_with_control(tmp_path, platform_config(service.port)) as (_, port, control),
     ):
         silent_callers = [await asyncio.open_connection("127.0.0.1", control) for _ in range(100)]
-        crowd = [await Client.connect(port) for _ in range(100)]
-        begun = time.monotonic()
-        assert (await control_call(control, "HEALTH")).startswith("-ERR")  # there is no list of hosts
+        idle_clients = [await Client.connect(port) for _ in range(100)]
+        started_at = time.monotonic()
+        assert (await control_call(control, "HEALTH")).startswith("-ERR")  # no list of hosts has arrived
         assert (await control_call(control, "LEAVE")).startswith("+OK")
         assert (await control_call(control, "\x00\x01 noise")).startswith("-ERR")
         assert (await control_call(control, "HEALTH" * 200)).startswith("-ERR")
-        assert time.monotonic() - begun < TEST_TIMEOUT_SECONDS / 2
+        assert time.monotonic() - started_at < TEST_TIMEOUT_SECONDS / 2
         for _, writer in silent_callers:
             writer.close()
-        for client in crowd:
+        for client in idle_clients:
             client.close()
 
 
@@ -182,8 +189,8 @@
         ),
     ):
         await _reload_classes(process, tmp_path, service, host)
-        client, holder = await Client.connect(port), await Client.connect(port)
-        holder.writer.write(request_text("page-read", {"X-Deadline": ""}))
+        client, waiting_client = await Client.connect(port), await Client.connect(port)
+        waiting_client.writer.write(request_text("page-read", {"X-Deadline": ""}))
         await wait_until(lambda: host.requests)
         assert (await client.fetch("coupon")).status == 400
         await _reload_classes(process, tmp_path, service, host, "coupon", "gift")
@@ -191,7 +198,7 @@
         client.writer.write(request_text("coupon").replace(b"POST", b"GET", 1))
         assert (await client.read_answer()).body == b"now"
         await answers_with(body=b"read")(host.requests[0], host.request_writers[0])
-        assert (await holder.read_answer()).body == b"read"
+        assert (await waiting_client.read_answer()).body == b"read"
         write_config(tmp_path, b"")
         process.send_signal(signal.SIGHUP)
         await wait_for_log(process, "going on with what is in force")
--- a/tests/control/test_session.py
+++ b/tests/control/test_session.py
@@ -47,7 +47,7 @@
         ("health", b"-ERR no such call; there are HEALTH, OFFLINE\r\n"),
     ],
 )
-def test_answers(line: str, answer: bytes) -> None:
+def test_the_registry_answers_valid_invalid_and_refused_calls(line: str, answer: bytes) -> None:
     def offline(host: str) -> str:
         if host == "busy":
             raise CallRefusedError("not now")
--- a/tests/faults/test_start.py
+++ b/tests/faults/test_start.py
@@ -1,4 +1,4 @@
-"""A start retries when no socket is available for a moment; an address in use still ends it."""
+"""A start retries when no socket is available for a moment; an address in use still makes it fail."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from whinrouter.net.config import ConfigError
 from whinrouter.operations.controller import OperationsController
 
-MOMENTARY = (errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE)
+MOMENTARY_ERRNOS = (errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE)
 
 
 def _inject_errors(monkeypatch: pytest.MonkeyPatch, errors: list[int]) -> None:
@@ -41,12 +41,12 @@
 async def test_listening_is_retried_after_a_momentary_error(monkeypatch: pytest.MonkeyPatch) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as gateway:
         gateway.frontend.close_listener()
-        errors = list(MOMENTARY)
+        errors = list(MOMENTARY_ERRNOS)
         _inject_errors(monkeypatch, errors)
         client = await Client.connect(await program._listen(_options(), gateway.frontend))
         assert (await client.fetch()).status == 200
         assert not errors
-        errors.extend(MOMENTARY)
+        errors.extend(MOMENTARY_ERRNOS)
         controller = cast(OperationsController, SimpleNamespace(register_calls=lambda calls, is_ready: None))
         control = await program._start_control(_options(), controller, lambda: True)
         assert control is not None
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("error", [errno.EADDRINUSE, errno.EACCES, errno.EADDRNOTAVAIL])
 @async_test
-async def test_a_lasting_error_ends_the_start(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
+async def test_a_lasting_error_makes_the_start_fail(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as gateway:
         gateway.frontend.close_listener()
         _inject_errors(monkeypatch, [error])
@@ -76,7 +76,7 @@
 
 
 @async_test
-async def test_a_lasting_shortage_ends_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_lasting_shortage_makes_the_start_fail(monkeypatch: pytest.MonkeyPatch) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as gateway:
         gateway.frontend.close_listener()
         _inject_errors(monkeypatch, [errno.ENOMEM] * 1000)
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -42,9 +42,9 @@
     async def host(request: Message, writer: asyncio.StreamWriter) -> None:
         await answers_with(200 if is_healthy else 500)(request, writer)
 
-    async with scripted_servers(host, _watch) as (one, service):
+    async with scripted_servers(host, _watch) as (scripted_host, service):
         with listening_socket() as listener:
-            config = platform_config(service.port, one.discovery_entry())
+            config = platform_config(service.port, scripted_host.discovery_entry())
             port = listener.getsockname()[1]
             async with running_gateway_process(tmp_path, listener, config, stepped) as old:
                 await wait_until_ready(old)
@@ -56,7 +56,7 @@
                     await wait_until_ready(new)
                     is_healthy = True
                     old.process.terminate()
-                    assert await old.ended() == 0
+                    assert await old.exit_status() == 0
                     await wait_until_served(port)
 
 
@@ -118,19 +118,21 @@
     library = faults.build(tmp_path)
     stepped = faults.environment(library, steps=[HOUR, -HOUR, 5], step_seconds=0.5)
     async with scripted_servers(answers_with(body=b"one"), answers_with(body=b"two"), _watch) as (
-        one,
-        two,
+        first_host,
+        second_host,
         service,
     ):
         with listening_socket() as listener:
-            config = platform_config(service.port, one.discovery_entry(), two.discovery_entry())
+            config = platform_config(
+                service.port, first_host.discovery_entry(), second_host.discovery_entry()
+            )
             async with running_gateway_process(tmp_path, listener, config, stepped) as old:
                 await wait_until_ready(old)
                 assert (await control_call(old.control, "OFFLINE s-0")).startswith("+OK")
                 async with running_gateway_process(tmp_path, listener, config, stepped) as new:
                     await wait_until_ready(new)
                     old.process.terminate()
-                    await old.ended()
+                    await old.exit_status()
                     assert (await control_call(new.control, "ONLINE s-0")).startswith("+OK")
                     answers: set[bytes] = set()
                     while answers != {b"one", b"two"}:
--- a/tests/handover/test_connections.py
+++ b/tests/handover/test_connections.py
@@ -1,6 +1,6 @@
 """Client connections are transferred to the next process in any state.
 
-The failure: a keyed order with a body of 70 to 200 KB arrived at 200 KB a second on a kept-alive connection.
+The failure: a keyed order with a body of 70 to 200 KB arrived at 200 KB a second on a keep-alive connection.
 Its attempt had begun with the first bytes of the body when its process was replaced. SIGKILL ended the
 connection without an answer, the client retried, and the order ran a second time 2.5 s later, which is past
 the window of 1 s in which hosts drop repeats. At that time only answers in progress were transferred.
@@ -40,7 +40,7 @@
 from whinrouter.net.http import LAST_CHUNK, Message, encode_chunk
 
 BODY = bytes(range(256)) * 1000
-PART_BYTES = 20_000  # of a body, written at a time
+PART_BYTES = 20_000  # of a body, in one write
 KILL_DELAY_SECONDS = 2.7  # from SIGTERM to SIGKILL
 DEADLINE_SECONDS = 2.0
 ORDER = {
@@ -62,7 +62,7 @@
     listener: Any
     exit_stack: AsyncExitStack
     processes: list[GatewayProcess] = field(default_factory=list)
-    endings: list[asyncio.Task[None]] = field(default_factory=list)
+    terminations: list[asyncio.Task[None]] = field(default_factory=list)
 
     @property
     def port(self) -> int:
@@ -78,12 +78,12 @@
     async def upgrade(self) -> None:
         """Start another process and end the one before it as the platform does."""
         await self.start()
-        ending = asyncio.get_running_loop().create_task(_terminate_or_kill(self.processes[-2].process))
-        self.endings.append(ending)
+        termination = asyncio.get_running_loop().create_task(_terminate_or_kill(self.processes[-2].process))
+        self.terminations.append(termination)
 
     async def wait_for_older(self) -> None:
         """Wait until all older processes have ended."""
-        await asyncio.gather(*self.endings)
+        await asyncio.gather(*self.terminations)
 
 
 async def _terminate_or_kill(process: asyncio.subprocess.Process) -> None:
@@ -139,16 +139,16 @@
     async with _running_gateway(tmp_path, answers_with(body=b"ordered")) as gateway:
         client = await Client.connect(gateway.port)
         assert (await client.fetch()).status == 200
-        body = BODY * 2  # takes about 4 s at the rate below, longer than its process lives
+        body = BODY * 2  # takes about 4 s at the rate below, longer than the older process lives
         parts = _order(chunked, body)
-        text, begun = b"".join(parts), sum(map(len, parts[:7])) + extra_bytes
-        client.writer.write(text[:begun])
-        await wait_until(lambda: gateway.host.received_bytes > begun - PART_BYTES)
+        text, sent_bytes = b"".join(parts), sum(map(len, parts[:7])) + extra_bytes
+        client.writer.write(text[:sent_bytes])
+        await wait_until(lambda: gateway.host.received_bytes > sent_bytes - PART_BYTES)
         await gateway.upgrade()
-        rest = text[begun:]
+        unsent = text[sent_bytes:]
         await _write(
             client,
-            [rest[offset : offset + PART_BYTES] for offset in range(0, len(rest), PART_BYTES)],
+            [unsent[offset : offset + PART_BYTES] for offset in range(0, len(unsent), PART_BYTES)],
             90_000.0,
         )
         answer = await client.read_answer()
@@ -161,7 +161,7 @@
 @async_test
 async def test_an_upload_is_transferred_several_times(tmp_path: Path) -> None:
     async with _running_gateway(tmp_path, answers_with(body=b"ordered")) as gateway:
-        body = BODY * 2  # at each upgrade more is missing than is ever buffered whole
+        body = BODY * 2  # at each upgrade more is missing than a body that is buffered whole may have
         client, parts = await Client.connect(gateway.port), _order(body=body)
         await _write(client, parts[:5])
         await gateway.upgrade()
@@ -187,17 +187,17 @@
         assert (await client.fetch()).keep_alive, "on the same connection"
 
 
-@pytest.mark.parametrize("begun", [1, 40, -30_000, -1])
+@pytest.mark.parametrize("cut", [1, 40, -30_000, -1])
 @async_test
-async def test_a_partly_received_request_is_transferred(tmp_path: Path, begun: int) -> None:
-    """Cut within its head, and within a body that is buffered whole; nothing of it was sent on."""
+async def test_a_partly_received_request_is_transferred(tmp_path: Path, cut: int) -> None:
+    """The cut is within the head, or within a body that is buffered whole; no host has a part of it."""
     async with _running_gateway(tmp_path, answers_with()) as gateway:
         client, text = await Client.connect(gateway.port), b"".join(_order(body=BODY[:50_000]))
-        client.writer.write(text[:begun])
+        client.writer.write(text[:cut])
         await asyncio.sleep(0.1)
         await gateway.upgrade()
         await gateway.wait_for_older()
-        client.writer.write(text[begun:])
+        client.writer.write(text[cut:])
         assert (await client.read_answer()).status == 200
         await gateway.wait_for_older()
         assert [request.body for request in gateway.host.requests] == [BODY[:50_000]]
@@ -235,10 +235,10 @@
 
 @async_test
 async def test_a_transferred_upload_that_the_host_resets_fails_and_is_not_repeated(tmp_path: Path) -> None:
-    async def breaks(request: Message, writer: asyncio.StreamWriter) -> None:
+    async def reset_after_request(request: Message, writer: asyncio.StreamWriter) -> None:
         reset_connection(writer)
 
-    async with _running_gateway(tmp_path, breaks) as gateway:
+    async with _running_gateway(tmp_path, reset_after_request) as gateway:
         client, parts = await Client.connect(gateway.port), _order()
         await _write(client, parts[:5])
         await gateway.upgrade()
--- a/tests/handover/test_long_answers.py
+++ b/tests/handover/test_long_answers.py
@@ -41,7 +41,7 @@
 KILL_DELAY_SECONDS = 3.7  # from SIGTERM to SIGKILL
 
 
-def _framed(framing: Framing) -> tuple[bytes, bytes]:
+def _answer_in_two_parts(framing: Framing) -> tuple[bytes, bytes]:
     """Return an answer in two parts, cut in the middle of its body; the second part ends it."""
     first, rest = BODY[:FIRST_PART_BYTES], BODY[FIRST_PART_BYTES:]
     if framing is Framing.LENGTH:
@@ -57,6 +57,8 @@
 
 @dataclass
 class Replacement:
+    """A gateway whose older process is being replaced, and the client of an answer in progress."""
+
     old: GatewayProcess
     new: GatewayProcess
     reader: asyncio.StreamReader
@@ -72,8 +74,8 @@
             return raw
         parts = b""
         while (size := int(raw[: raw.index(b"\r\n")], 16)) > 0:
-            begins = raw.index(b"\r\n") + 2
-            parts, raw = parts + raw[begins : begins + size], raw[begins + size + 2 :]
+            start = raw.index(b"\r\n") + 2
+            parts, raw = parts + raw[start : start + size], raw[start + size + 2 :]
         return parts
 
 
@@ -81,7 +83,7 @@
 async def gateway_being_replaced(folder: Path, framing: Framing) -> AsyncIterator[Replacement]:
     """Two processes of a gateway; the older one transfers an answer whose host has paused in the middle."""
     continue_sending = asyncio.Event()
-    first, rest = _framed(framing)
+    first, rest = _answer_in_two_parts(framing)
 
     async def host(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(first)
@@ -145,7 +147,7 @@
         await wait_for_log(replacement.new.process, "stopping")
         replacement.continue_sending.set()
         assert await replacement.body() == BODY
-        assert await replacement.new.ended() == 0
+        assert await replacement.new.exit_status() == 0
 
 
 @async_test
@@ -215,7 +217,7 @@
 
 @async_test
 async def test_the_sender_keeps_the_sockets_until_the_receiver_holds_them(tmp_path: Path) -> None:
-    """The receiver is absent; closes without a reply; sends another reply; holds both sockets."""
+    """In turn the receiver is absent, closes without a reply, sends another reply, and holds both sockets."""
     path, answer = tmp_path / "answers", _FakeAnswer()
     assert not await TransferSender(path).hand_over(answer)
     for reply in (b"", b"what"):
@@ -241,7 +243,7 @@
 
 
 @async_test
-async def test_a_slow_reader_receives_the_whole_answer(tmp_path: Path) -> None:
+async def test_a_reader_that_is_slow_at_the_end_receives_the_whole_answer(tmp_path: Path) -> None:
     path, answer, length = tmp_path / "answers", _FakeAnswer(), 3_000_000
     answer.message = AnswerTransfer(Remainder(Framing.LENGTH, length), length, False)
     loop = asyncio.get_running_loop()
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -28,11 +28,11 @@
 from whinrouter.membership.start_times import StartAge
 
 
-def _experienced() -> Driver:
+def _driver_with_learned_state() -> Driver:
     driver = Driver(Settings(CLASSES), server_count=6)
-    draw = random.Random(1)
+    rng = random.Random(1)
     for _ in range(60):
-        driver.serve(draw.choice([READ, BUY]), draw.randint(5, 60) * MS)
+        driver.serve(rng.choice([READ, BUY]), rng.randint(5, 60) * MS)
     for _ in range(4):
         request = driver.submit(BUY)
         driver.now += 20 * MS
@@ -42,7 +42,7 @@
 
 
 HOST = HostEntry(2**64 - 1, "127.0.0.1", 9000, "ready", "a", "m2", 3, 1.0, 17)
-LEARNED = _experienced().balancer.export_state(17 * MS)
+LEARNED = _driver_with_learned_state().balancer.export_state(17 * MS)
 MESSAGES: list[Message] = [
     Hello("n3", "127.0.0.1:9000", 41),
     Snapshot("127.0.0.1:8500", 41, (HOST,), {2**64 - 1: 5}, {7: 9}, {7: StartAge(17, 3)}, True, LEARNED),
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("clocks_apart", [0, 3600 * SECOND, -10 * MS])
 def test_a_balancer_resumes_from_the_learned_state_of_another(clocks_apart: int) -> None:
-    older = _experienced()
+    older = _driver_with_learned_state()
     fresh = Balancer(older.settings, 2)
     now = older.now + clocks_apart
     fresh.handle(ServerList(Update.FULL, tuple(older.listed_servers.values())), now)
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -37,7 +37,7 @@
 
 @contextmanager
 def listening_socket() -> Iterator[socket.socket]:
-    """The socket that the processes' parent holds."""
+    """Yield the listening socket that the processes share; their parent process holds it."""
     with socket.create_server(("127.0.0.1", 0), backlog=128) as listener:
         yield listener
 
@@ -47,7 +47,8 @@
     process: asyncio.subprocess.Process
     control: int
 
-    async def ended(self) -> int:
+    async def exit_status(self) -> int:
+        """Wait for the exit and return the status."""
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             return await self.process.wait()
 
@@ -86,9 +87,9 @@
 
 async def answer_bodies(port: int, count: int = 30) -> set[bytes]:
     client = await Client.connect(port)
-    found = {(await client.fetch()).body for _ in range(count)}
+    bodies = {(await client.fetch()).body for _ in range(count)}
     client.close()
-    return found
+    return bodies
 
 
 @asynccontextmanager
@@ -96,13 +97,15 @@
     tuple[ScriptedServer, ScriptedServer, socket.socket, dict[str, Any], int]
 ]:
     async with scripted_servers(answers_with(body=b"one"), answers_with(body=b"two"), _watch) as (
-        one,
-        two,
+        first_host,
+        second_host,
         service,
     ):
         with listening_socket() as listener:
-            config = platform_config(service.port, one.discovery_entry(), two.discovery_entry())
-            yield one, two, listener, config, listener.getsockname()[1]
+            config = platform_config(
+                service.port, first_host.discovery_entry(), second_host.discovery_entry()
+            )
+            yield first_host, second_host, listener, config, listener.getsockname()[1]
 
 
 @async_test
@@ -121,7 +124,7 @@
             assert (await control_call(old.control, "OFFLINE s-1")).startswith("+OK")
             await wait_for_log(new.process, "handover: OFFLINE s-1")
             old.process.send_signal(signal.SIGTERM)
-            assert await old.ended() == 0
+            assert await old.exit_status() == 0
             assert await answer_bodies(port) == {b"one"}
             await control_call(new.control, "LEAVE")
             async with running_gateway_process(tmp_path, listener, config) as third:
@@ -133,22 +136,22 @@
 @async_test
 async def test_upgrades_refuse_no_client_and_answer_held_requests(tmp_path: Path) -> None:
     """Three successive upgrades, with clients that keep their connections."""
-    held: list[tuple[Message, asyncio.StreamWriter]] = []
+    held_requests: list[tuple[Message, asyncio.StreamWriter]] = []
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if request.target.startswith(b"/chapter-buy"):
-            held.append((request, writer))
+            held_requests.append((request, writer))
         else:
             await answers_with()(request, writer)
 
-    async with two_hosts() as (one, two, listener, config, port):
-        one.script = two.script = script
+    async with two_hosts() as (first_host, second_host, listener, config, port):
+        first_host.script = second_host.script = script
         statuses: list[int] = []
-        over = asyncio.Event()
+        is_over = asyncio.Event()
 
-        async def keep_asking() -> None:
+        async def keep_fetching() -> None:
             client = await Client.connect(port)
-            while not over.is_set():
+            while not is_over.is_set():
                 try:
                     answer = await client.fetch()
                 except ConnectionError:  # the idle connection was closed while this request was on its way
@@ -164,28 +167,31 @@
         async with contextlib.AsyncExitStack() as stack:
             current = await stack.enter_async_context(running_gateway_process(tmp_path, listener, config))
             await wait_until_ready(current)
-            asking = [asyncio.create_task(keep_asking()) for _ in range(2)]
+            fetching = [asyncio.create_task(keep_fetching()) for _ in range(2)]
             for upgrade in range(3):
-                holder = await Client.connect(port)
-                holder.writer.write(request_text("chapter-buy", {"X-Deadline": ""}))
-                await wait_until(partial(lambda count: len(held) > count, upgrade))
-                fresh = await stack.enter_async_context(running_gateway_process(tmp_path, listener, config))
-                await wait_until_ready(fresh)
+                waiting_client = await Client.connect(port)
+                waiting_client.writer.write(request_text("chapter-buy", {"X-Deadline": ""}))
+                await wait_until(partial(lambda count: len(held_requests) > count, upgrade))
+                newer = await stack.enter_async_context(running_gateway_process(tmp_path, listener, config))
+                await wait_until_ready(newer)
                 current.process.send_signal(signal.SIGTERM)
                 await wait_for_log(current.process, "stopping")
-                await answers_with(body=b"bought")(*held[upgrade])
-                assert (await holder.read_answer()).body == b"bought"
-                assert await current.ended() == 0
-                current = fresh
-            over.set()
-            await asyncio.gather(*asking)
-        assert len(held) == 3
+                await answers_with(body=b"bought")(*held_requests[upgrade])
+                assert (await waiting_client.read_answer()).body == b"bought"
+                assert await current.exit_status() == 0
+                current = newer
+            is_over.set()
+            await asyncio.gather(*fetching)
+        assert len(held_requests) == 3
         assert set(statuses) == {200}
 
 
 @async_test
 async def test_a_new_process_that_dies_changes_nothing(tmp_path: Path) -> None:
-    """It is killed before its request, after the snapshot, and while serving; the next finds the survivor."""
+    """The new process dies before or within Hello, after the snapshot, and while it serves.
+
+    Each time the old process serves on, and the next process takes over from the one that is left.
+    """
     async with (
         two_hosts() as (_, _, listener, config, port),
         running_gateway_process(tmp_path, listener, config) as old,
@@ -223,7 +229,7 @@
             await control_call(first.control, "OFFLINE s-0")
             path = next(path for path in tmp_path.iterdir() if path.name.startswith("copperlead-"))
             first.process.kill()
-            await first.ended()
+            await first.exit_status()
         server = None
         if kind != "stale":
             path.unlink()
@@ -234,10 +240,10 @@
         async with running_gateway_process(tmp_path, listener, config) as second:
             await wait_until_ready(second)
             assert (await control_call(second.control, "HEALTH")).endswith("out=0")
-            found: set[bytes] = set()
+            bodies: set[bytes] = set()
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
-                while found != {b"one", b"two"}:
-                    found |= await answer_bodies(port)
+                while bodies != {b"one", b"two"}:
+                    bodies |= await answer_bodies(port)
         if server is not None:
             server.close()
 
@@ -263,11 +269,11 @@
         path = next(path for path in tmp_path.iterdir() if path.name.startswith("copperlead-"))
         reader, writer = await asyncio.open_unix_connection(str(path))
         name, address = "n3", f"127.0.0.1:{port}"
-        number = os.fstat(listener.fileno()).st_ino
+        inode = os.fstat(listener.fileno()).st_ino
         hellos = {
-            "name": Hello("n4", address, number),
-            "address": Hello(name, "127.0.0.1:1", number),
-            "socket": Hello(name, address, number + 1),
+            "name": Hello("n4", address, inode),
+            "address": Hello(name, "127.0.0.1:1", inode),
+            "socket": Hello(name, address, inode + 1),
         }
         writer.write(encode_frame(hellos[difference]))
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
--- a/tests/invariants/test_no_bypass.py
+++ b/tests/invariants/test_no_bypass.py
@@ -28,8 +28,8 @@
 @pytest.mark.parametrize(
     ("file", "call", "functions"),
     [
-        ("upstream.py", "connection.send_attempt(", {"_begin"}),
-        ("upstream.py", "attempt.may_begin(", {"_begin"}),
+        ("upstream.py", "connection.send_attempt(", {"_begin_attempt"}),
+        ("upstream.py", "attempt.may_begin(", {"_begin_attempt"}),
         ("upstream.py", "transport.write(attempt.encode(", {"send_attempt"}),
         ("gateway.py", "send_answer(", {"_deliver_answer"}),
         ("gateway.py", "pending.send_answer(", set()),
--- a/tests/membership/test_json_stream.py
+++ b/tests/membership/test_json_stream.py
@@ -70,7 +70,7 @@
 
 
 def test_truncated_document_does_not_swallow_the_next_one() -> None:
-    """The next line counts as a part of it, and the empty line after that can't."""
+    """The line after it counts as a part of it; an empty line can't, so the error is raised there."""
     splitter = DocumentSplitter(MAX_BYTES)
     documents = splitter.feed(b'{"revision": 43, "members": [\n{"revision": 44, "members": []}\n\n')
     with pytest.raises(ValueError, match="broke off"):
--- a/tests/membership/test_retry_policy.py
+++ b/tests/membership/test_retry_policy.py
@@ -140,51 +140,53 @@
         random = self._random
         killed = random.sample(range(self.GATEWAYS), self.KILLED)
         self._make_calls(
-            [(random.uniform(0, 0.1) + self._start_delay(), one) for one in range(self.GATEWAYS)],
+            [(random.uniform(0, 0.1) + self._start_delay(), gateway) for gateway in range(self.GATEWAYS)],
             self.KILLED_AT,
             killed,
         )
         last_heartbeats = {
-            one: self.KILLED_AT - random.uniform(0, HEARTBEAT_SECONDS)
-            for one in killed
-            if self.listed.pop(one, self.KILLED_AT) < self.KILLED_AT
+            gateway: self.KILLED_AT - random.uniform(0, HEARTBEAT_SECONDS)
+            for gateway in killed
+            if self.listed.pop(gateway, self.KILLED_AT) < self.KILLED_AT
         }
-        for one in killed:
-            self.first_failed.pop(one, None)
-        self._make_calls([(self.RESTARTED_AT + self._start_delay(), one) for one in killed], self.UNTIL, [])
-        return sum(self._is_late(one, last) for one, last in last_heartbeats.items())
+        for gateway in killed:
+            self.first_failed.pop(gateway, None)
+        self._make_calls(
+            [(self.RESTARTED_AT + self._start_delay(), gateway) for gateway in killed], self.UNTIL, []
+        )
+        return sum(self._is_late(gateway, last) for gateway, last in last_heartbeats.items())
 
-    def _is_late(self, one: int, last: float) -> bool:
-        due = max(last + NOTIFICATION_DEADLINE_SECONDS, self.first_failed.get(one, 0.0) + self.LIMIT)
-        return self.listed.get(one, self.UNTIL) > due + LEAST_GRACE and one in self.first_failed
+    def _is_late(self, gateway: int, last: float) -> bool:
+        due = max(last + NOTIFICATION_DEADLINE_SECONDS, self.first_failed.get(gateway, 0.0) + self.LIMIT)
+        return self.listed.get(gateway, self.UNTIL) > due + LEAST_GRACE and gateway in self.first_failed
 
     def _start_delay(self) -> float:
         return self._policy.start_delay(self._random)
 
     def _make_calls(self, calls: list[tuple[float, int]], until: float, killed: list[int]) -> None:
         """Make all calls up to a time; gateways that are not killed make their later calls afterwards."""
-        queue = sorted([(at, 0, one) for at, one in calls] + self._pending)
+        queue = sorted([(at, 0, gateway) for at, gateway in calls] + self._pending)
         self._pending = []
         while queue:
-            at, failures, one = queue.pop(0)
+            at, failures, gateway = queue.pop(0)
             if at > until:
-                if one not in killed:
-                    self._pending.append((at, failures, one))
+                if gateway not in killed:
+                    self._pending.append((at, failures, gateway))
                 continue
-            retry_at = self._call(at, failures, one)
+            retry_at = self._call(at, failures, gateway)
             if retry_at is not None:
-                queue.append((retry_at, failures + 1, one))
+                queue.append((retry_at, failures + 1, gateway))
                 queue.sort()
 
-    def _call(self, at: float, failures: int, one: int) -> float | None:
-        """Make a call; return the time of the next one if this one fails."""
+    def _call(self, at: float, failures: int, gateway: int) -> float | None:
+        """Make a call; if it fails, return the time of the next one."""
         self._free_at = done_at = max(self._free_at, at) + self._call_seconds
         is_dropped = done_at - at > self.LIMIT
         if not is_dropped and self._random.random() > 0.02:
-            self.listed[one] = done_at
+            self.listed[gateway] = done_at
             return None
         failed_at = at + self.LIMIT if is_dropped else done_at
-        self.first_failed.setdefault(one, failed_at)
+        self.first_failed.setdefault(gateway, failed_at)
         return failed_at + self._policy.backoff(failures + 1, is_dropped, self._random)
 
 
--- a/tests/membership/test_start_times.py
+++ b/tests/membership/test_start_times.py
@@ -22,7 +22,7 @@
         assert server.started_at >= NOW - age * SECOND
     assert max(server.started_at for server in localised) == NOW + delay * SECOND
     offsets = [
-        here.started_at - reported.started_at for here, reported in zip(localised, servers, strict=True)
+        local.started_at - reported.started_at for local, reported in zip(localised, servers, strict=True)
     ]
     assert len(set(offsets)) == 1
 
--- a/tests/operations/test_maintenance.py
+++ b/tests/operations/test_maintenance.py
@@ -16,19 +16,19 @@
 
 
 class MaintenanceMachine(RuleBasedStateMachine):
-    """The gateway's hosts are the listed ones without those out; a host that was put back is cold."""
+    """The gateway's ready hosts are the listed ones that are not out; a host that was put back is cold."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state = Maintenance()
         self.now = 100
-        self.shown: dict[ServerId, Server] = {}  # as the gateway has them
+        self.effective: dict[ServerId, Server] = {}  # as passed on to the gateway
         self.listed: dict[ServerId, Server] = {}  # as discovery lists them
-        self.out: set[ServerId] = set()
+        self.hosts_out: set[ServerId] = set()
 
     def _deliver(self, servers: tuple[Server, ...]) -> None:
         for server in servers:
-            self.shown[server.id] = server
+            self.effective[server.id] = server
 
     @rule(server_id=IDS, state=STATES, restarted=st.booleans())
     def change_host(self, server_id: int, state: State, restarted: bool) -> None:
@@ -45,53 +45,53 @@
     def replace_list(self, ids: set[int]) -> None:
         self.now += 10
         self.listed = {i: replace(self.listed.get(i, Server(i)), state=State.READY) for i in ids}
-        self.shown = {}
+        self.effective = {}
         self._deliver(self.state.apply(Update.FULL, tuple(self.listed.values())))
 
     @rule(server_id=IDS)
     def take_out(self, server_id: int) -> None:
         self.now += 10
-        if server_id not in self.listed and server_id not in self.out:
+        if server_id not in self.listed and server_id not in self.hosts_out:
             with pytest.raises(UnknownHostError):
                 self.state.take_out(server_id, self.now)
             return
-        self.out.add(server_id)
+        self.hosts_out.add(server_id)
         self._deliver(self.state.take_out(server_id, self.now))
 
     @rule(server_id=IDS)
     def put_back(self, server_id: int) -> None:
         self.now += 10
-        if server_id not in self.listed and server_id not in self.out:
+        if server_id not in self.listed and server_id not in self.hosts_out:
             with pytest.raises(UnknownHostError):
                 self.state.put_back(server_id, self.now)
             return
-        was_out = server_id in self.out
-        self.out.discard(server_id)
-        back = self.state.put_back(server_id, self.now)
-        self._deliver(back)
+        was_out = server_id in self.hosts_out
+        self.hosts_out.discard(server_id)
+        changed = self.state.put_back(server_id, self.now)
+        self._deliver(changed)
         if was_out and server_id in self.listed:
-            assert back[0].started_at == self.now, "a host that was put back is cold"
+            assert changed[0].started_at == self.now, "a host that was put back is cold"
 
-    @precondition(lambda self: self.out)
+    @precondition(lambda self: self.hosts_out)
     @rule()
     def upgrade(self) -> None:
         """Another process restores this one's state."""
         successor = Maintenance()
         successor.restore(*self.state.ages(self.now), self.now)
-        self.shown = {}
+        self.effective = {}
         self._deliver(successor.apply(Update.STALE, tuple(self.listed.values())))
         self.state = successor
 
     @invariant()
     def no_host_out_is_ready(self) -> None:
-        ready = {i for i, server in self.shown.items() if server.state is State.READY}
-        assert not ready & self.out
-        assert ready == {i for i, s in self.listed.items() if s.state is State.READY} - self.out
+        ready = {i for i, server in self.effective.items() if server.state is State.READY}
+        assert not ready & self.hosts_out
+        assert ready == {i for i, s in self.listed.items() if s.state is State.READY} - self.hosts_out
 
     @invariant()
-    def no_start_is_shown_too_early(self) -> None:
+    def no_start_is_earlier_than_listed(self) -> None:
         for server_id, server in self.listed.items():
-            assert self.shown[server_id].started_at >= server.started_at
+            assert self.effective[server_id].started_at >= server.started_at
 
 
 TestMaintenance = MaintenanceMachine.TestCase
--- a/tests/operations/test_reload_checks.py
+++ b/tests/operations/test_reload_checks.py
@@ -30,15 +30,15 @@
 
 def _modified(path: tuple[Any, ...], *value: Any) -> dict[str, Any]:
     """Return the configuration in force without a key, or with another value for it."""
-    fresh = copy.deepcopy(IN_FORCE)
-    node: Any = fresh
+    modified = copy.deepcopy(IN_FORCE)
+    node: Any = modified
     for key in path[:-1]:
         node = node[key]
     if value:
         node[path[-1]] = value[0]
     else:
         del node[path[-1]]
-    return fresh
+    return modified
 
 
 PATHS = [*_paths(IN_FORCE)]
@@ -64,10 +64,10 @@
 
 
 def test_all_findings_are_returned_at_once() -> None:
-    fresh = _modified(("settings", "classes", 0, "giveUp"), -1)
-    del fresh["discovery"]
-    fresh["settings"]["classes"][1]["name"] = "page-read"
-    assert len(findings(fresh, IN_FORCE)) == 3
+    modified = _modified(("settings", "classes", 0, "giveUp"), -1)
+    del modified["discovery"]
+    modified["settings"]["classes"][1]["name"] = "page-read"
+    assert len(findings(modified, IN_FORCE)) == 3
 
 
 def test_classes_may_be_added_and_removed() -> None:
@@ -77,7 +77,7 @@
     assert findings(_modified(("settings", "classes"), ["new"]), IN_FORCE)
 
 
-def _retune(driver: Driver, *classes: Any, **fields: Any) -> None:
+def _update_settings(driver: Driver, *classes: Any, **fields: Any) -> None:
     settings = replace(driver.settings, classes=classes, **fields)
     driver.balancer.update_settings(settings)
     driver.settings = settings
@@ -86,7 +86,7 @@
 def test_a_request_keeps_its_class_when_that_is_removed() -> None:
     driver = Driver()
     read, buy = driver.submit(READ), driver.submit(BUY)
-    _retune(driver, replace(BUY, name="other"))
+    _update_settings(driver, replace(BUY, name="other"))
     driver.now += 10 * MS
     driver.end_attempt(driver.running(read)[0], Outcome.ERROR)
     assert driver.running(read), "it may still be repeated"
@@ -102,7 +102,7 @@
     driver = Driver()
     early = driver.submit(READ)
     strict = replace(READ, effect=Effect.AT_MOST_ONCE)
-    _retune(driver, strict, BUY)
+    _update_settings(driver, strict, BUY)
     driver.classes = (strict, BUY)
     late = driver.submit(strict)
     driver.end_attempt(driver.running(late)[0], Outcome.RESET)
@@ -118,12 +118,12 @@
     for _ in range(2):
         driver.now += 10 * MS
         driver.end_attempt(driver.running(request)[0], Outcome.ERROR)
-    _retune(driver, *CLASSES, max_attempts=1)
+    _update_settings(driver, *CLASSES, max_attempts=1)
     driver.end_attempt(driver.running(request)[0], Outcome.ERROR)
     assert len(driver.attempts(request)) == 3
     assert driver.answers[request] == ["refused"]
     other = driver.submit(READ)
-    _retune(driver, *CLASSES, max_attempts=4)
+    _update_settings(driver, *CLASSES, max_attempts=4)
     driver.end_attempt(driver.running(other)[0], Outcome.ERROR)
     assert len(driver.attempts(other)) == 1
 
@@ -134,10 +134,10 @@
         driver.serve(READ)
         driver.serve(BUY)
     limits = {server: host.limit for server, host in driver.balancer._hosts.items()}
-    out = driver.submit(READ)
-    _retune(driver, BUY)
+    request = driver.submit(READ)
+    _update_settings(driver, BUY)
     driver.now += 30 * MS
-    driver.end_attempt(driver.running(out)[0])
+    driver.end_attempt(driver.running(request)[0])
     assert {server: host.limit for server, host in driver.balancer._hosts.items()} == pytest.approx(
         limits, abs=2
     )
--- a/tests/operator/test_loading.py
+++ b/tests/operator/test_loading.py
@@ -122,7 +122,7 @@
 
 @given(_TABLE, _TABLE, _TABLE)
 def test_merge_is_associative_and_idempotent(
-    one: dict[str, object], two: dict[str, object], three: dict[str, object]
+    first: dict[str, object], second: dict[str, object], third: dict[str, object]
 ) -> None:
     def is_leaf(value: object) -> bool:
         return not isinstance(value, dict)
@@ -133,7 +133,7 @@
             return any(conflict(a[key], b[key]) for key in a.keys() & b.keys())
         return is_leaf(a) != is_leaf(b)
 
-    if not (conflict(one, two) or conflict(two, three) or conflict(one, three)):
-        assert merge(merge(one, two), three) == merge(one, merge(two, three))
-    assert merge(one, {}) == one == merge({}, one)
-    assert merge(one, one) == one
+    if not (conflict(first, second) or conflict(second, third) or conflict(first, third)):
+        assert merge(merge(first, second), third) == merge(first, merge(second, third))
+    assert merge(first, {}) == first == merge({}, first)
+    assert merge(first, first) == first
--- a/tests/operator/test_mutations.py
+++ b/tests/operator/test_mutations.py
@@ -70,8 +70,8 @@
     for path, rank in DECLARED_RANKS.items():
         for target in (path, f"{path}/7?page=4", f"{path}?x"):
             route = table.find(target.encode())
-            assert route is None or RANKS[route.kind.effect] <= rank
-            if route is not None and route.kind.effect is not Effect.IDEMPOTENT:
+            assert route is None or RANKS[route.request_class.effect] <= rank
+            if route is not None and route.request_class.effect is not Effect.IDEMPOTENT:
                 assert b"GET" not in route.methods
 
 
@@ -82,12 +82,14 @@
     _DEFAULTS,
     st.booleans(),
 )
-def test_changed_classes_and_defaults(file: str, classes: list[str], defaults: str, separate: bool) -> None:
+def test_changed_classes_and_defaults_have_findings_or_stay_safe(
+    file: str, classes: list[str], defaults: str, is_separate_file: bool
+) -> None:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         changed = defaults + "".join(classes)
         files = {**GOOD_FILES, "changed.toml": changed, "app.toml": f'include = ["{file}", "changed.toml"]\n'}
-        if not separate:
+        if not is_separate_file:
             files["app.toml"] = f'include = ["{file}"]\n{changed}'
         write_files(folder, files)
         assert_safe(folder, "app.toml")
@@ -95,7 +97,9 @@
 
 @settings(deadline=None, max_examples=300)
 @given(st.sampled_from(sorted(GOOD_FILES)), st.data())
-def test_deleted_duplicated_moved_and_corrupted_lines(file: str, data: st.DataObject) -> None:
+def test_deleted_duplicated_moved_and_corrupted_lines_have_findings_or_stay_safe(
+    file: str, data: st.DataObject
+) -> None:
     lines = GOOD_FILES[file].split("\n")
     for _ in range(data.draw(st.integers(1, 3))):
         source = data.draw(st.integers(0, len(lines) - 1))
--- a/tests/operator/test_pages.py
+++ b/tests/operator/test_pages.py
@@ -48,7 +48,7 @@
     assert load(path).model == Model()
 
 
-def test_tutorial_of_the_sidecar_page(tmp_path: Path) -> None:
+def test_tutorial_of_the_sidecar_page_leaves_no_findings(tmp_path: Path) -> None:
     page = (ROOT / "docs" / "operators" / "sidecar.md").read_text()
     (description,) = [
         block for block in re.findall(r"```toml\n(.*?)```", page, re.DOTALL) if "[[need]]" in block
--- a/tests/operator/test_toml_lines.py
+++ b/tests/operator/test_toml_lines.py
@@ -73,5 +73,5 @@
 
 
 @pytest.mark.parametrize("text", ["", "\n\n", "# nothing", "a=1"])
-def test_short_texts(text: str) -> None:
+def test_each_key_of_a_short_text_has_a_line(text: str) -> None:
     assert set(key_lines(text)) == set(key_paths(tomllib.loads(text)))
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -53,10 +53,10 @@
         pytest.skip(f"{module.__name__} is compiled: its functions can't be replaced")
 
 
-def replace_method(target: object, method: str, other: Callable[..., Any]) -> None:
+def replace_method(target: object, method: str, replacement: Callable[..., Any]) -> None:
     """Replace a method of one object."""
     skip_if_compiled(target)
-    setattr(target, method, other)
+    setattr(target, method, replacement)
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
@@ -97,31 +97,31 @@
     def __init__(self) -> None:
         self._request: Message | None = None  # the request whose body is incomplete
         self._pieces: list[bytes] = []
-        self._is_whole = False
+        self._is_complete = False
 
     def flow(self, length: int | None) -> Flow:
         return Flow(self, length, 0.0, 0.0, 0.0)
 
     def complete_requests(self, requests: list[Message]) -> list[Message]:
         """Return the requests that are complete by now; `requests` were emitted by the latest read."""
-        found = []
+        complete = []
         for request in requests:
             if request.body_flow is None:
-                found.append(request)
+                complete.append(request)
                 continue
-            self._request, self._pieces, self._is_whole = request, [request.body], False
+            self._request, self._pieces, self._is_complete = request, [request.body], False
             request.body_flow.attach(self, 0.0)
-        if self._request is not None and self._is_whole:
+        if self._request is not None and self._is_complete:
             self._request.body = b"".join(self._pieces)
-            found.append(self._request)
+            complete.append(self._request)
             self._request = None
-        return found
+        return complete
 
     def write_body(self, data: bytes) -> None:
         self._pieces.append(data)
 
     def finish_body(self) -> None:
-        self._is_whole = True
+        self._is_complete = True
 
     def bytes_delivered(self) -> int:
         return -1
@@ -134,7 +134,7 @@
 
 @dataclass
 class ScriptedServer:
-    """A server that passes each complete request to its script."""
+    """A server that passes each complete request to its script, and records what it received."""
 
     script: Script
     name: str = "s-1"
@@ -149,6 +149,7 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Listen on a free port, which is in `port` afterwards."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -171,12 +172,14 @@
             writer.close()
 
     def stop(self) -> None:
+        """Stop listening, and abort all connections."""
         if self._server is not None:
             self._server.close()
         for writer in self.writers:
             writer.transport.abort()
 
     def member(self, **fields: Any) -> Member:
+        """Return this host as a member of a host list; `fields`: of its `Server`."""
         return Member(Server(hashed_server_id(self.name), **fields), ("127.0.0.1", self.port))
 
     def discovery_entry(self, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
@@ -196,7 +199,7 @@
 
 @asynccontextmanager
 async def scripted_servers(*scripts: Script) -> AsyncIterator[list[ScriptedServer]]:
-    """Start a server for each script, and stop them at the end."""
+    """Start a server for each script, named `s-0`, `s-1` and so on; stop them at the end."""
     started = [ScriptedServer(script, f"s-{index}") for index, script in enumerate(scripts)]
     for server in started:
         await server.start()
@@ -237,6 +240,7 @@
 
     @classmethod
     async def connect(cls, port: int) -> Client:
+        """Connect to a port of this machine."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     async def read_answer(self) -> Message:
@@ -253,6 +257,7 @@
     async def fetch(
         self, class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
     ) -> Message:
+        """Send a request and return its answer; ConnectionError if the connection ends without one."""
         self.writer.write(request_text(class_name, headers, body))
         return await self.read_answer()
 
@@ -262,6 +267,7 @@
             return await self._reader.read()
 
     def close(self) -> None:
+        """Close the connection at once."""
         self.writer.transport.abort()
 
 
@@ -287,9 +293,11 @@
     port: int
 
     async def client(self) -> Client:
+        """Return a new client connection to the gateway."""
         return await Client.connect(self.port)
 
     async def fetch(self, class_name: str = "page-read", headers: Mapping[str, str] | None = None) -> Message:
+        """Return the answer to one request on a connection of its own."""
         client = await self.client()
         try:
             return await client.fetch(class_name, headers)
@@ -306,7 +314,11 @@
     selector: PrioritySelector | None = None,
     attempt_time: int = 0,
 ) -> AsyncIterator[RunningGateway]:
-    """Run a gateway in this event loop on a free port, with these hosts on its list."""
+    """Run a gateway in this event loop on a free port, with these hosts on its list.
+
+    `idle_time`: the idle timeout of the hosts, in seconds; `attempt_time`: the timeout of an attempt in
+    microseconds, 0 for the deadline of its request. Fails at the end if an invariant was violated.
+    """
     upstream = ConnectionPool(1.0, idle_time, max_connections)
     balancer = Balancer(settings, seed=1)
     gateway = Gateway(balancer, upstream, attempt_time)
@@ -326,11 +338,11 @@
     events: list[Event] = []
     handle = proxy.balancer.handle
 
-    def recorded(event: Event, now: int) -> list[Action]:
+    def record_and_handle(event: Event, now: int) -> list[Action]:
         events.append(event)
         return handle(event, now)
 
-    replace_method(proxy.balancer, "handle", recorded)
+    replace_method(proxy.balancer, "handle", record_and_handle)
     return events
 
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -26,7 +26,7 @@
 
 
 async def wait_for_log(process: asyncio.subprocess.Process, text: str) -> str:
-    """Return the next line of its log that contains this text."""
+    """Return the next line of the log that contains this text; AssertionError if there is none."""
     assert process.stderr is not None
     async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while line := (await process.stderr.readline()).decode():
--- a/tests/streaming/test_bodies.py
+++ b/tests/streaming/test_bodies.py
@@ -154,10 +154,10 @@
             last_written = written[0]
             await asyncio.sleep(0.4)
         assert written[0] < SIZE
-        other, other_writer = await open_client(setup)
+        other_reader, other_writer = await open_client(setup)
         setup.hosts[0].script = reads_upload
         other_writer.write(request_text())
-        assert await status(other) == 200
+        assert await status(other_reader) == 200
         setup.proxy.frontend.presence.leave(0.0)
         reader._transport.resume_reading()  # type: ignore[attr-defined]
         await read_body(reader)
@@ -200,9 +200,9 @@
             await read_body(reader)
         setup.hosts[0].script = reads_upload
         await reader.read(0)
-        again, other_writer = await open_client(setup)
+        new_reader, other_writer = await open_client(setup)
         other_writer.write(request_text())
-        assert await status(again) == 200
+        assert await status(new_reader) == 200
         assert setup.proxy.upstream.connections <= 2
 
 
@@ -326,23 +326,23 @@
         assert await status(reader) == 100
         await send(writer, 1024 * 1024)
         assert await status(reader) == 200
-        bad, other_writer = await open_client(setup)
+        rejected_reader, other_writer = await open_client(setup)
         other_writer.write(
             upload_head(1024 * 1024)
             .replace(b"chapter-buy", b"nothing")
             .replace(b"\r\n\r\n", b"\r\nExpect: 100-continue\r\n\r\n")
         )
-        assert await status(bad) == 400
+        assert await status(rejected_reader) == 400
 
 
 @async_test
 async def test_stalled_upload_times_out_and_a_slow_one_does_not() -> None:
     """The limit is a least rate: 64 kB/s is accepted for as long as the upload takes."""
     async with gateway_with_hosts(reads_upload) as setup:
-        slow, writer = await open_client(setup)
-        stalled, quiet = await open_client(setup)
+        slow_reader, writer = await open_client(setup)
+        stalled_reader, stalled_writer = await open_client(setup)
         writer.write(upload_head(256 * 1024))
-        quiet.write(upload_head(256 * 1024) + PIECE)
+        stalled_writer.write(upload_head(256 * 1024) + PIECE)
 
         async def send_slowly() -> None:
             for _ in range(40):
@@ -351,9 +351,9 @@
             writer.write(bytes(256 * 1024 - 40 * 6_550))
 
         sending = asyncio.create_task(send_slowly())
-        assert await status(stalled) == 408
+        assert await status(stalled_reader) == 408
         await sending
-        assert await status(slow) == 200
+        assert await status(slow_reader) == 200
         assert setup.hosts[0].uploads_run == 1
 
 
--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -20,7 +20,7 @@
 
 
 class _Sides:
-    """Source and sink of a flow; records what each of them was told."""
+    """Source and sink of a flow; records the calls to each of them."""
 
     def __init__(self) -> None:
         self.sent = bytearray()
--- a/tests/streaming/test_message_forms.py
+++ b/tests/streaming/test_message_forms.py
@@ -16,13 +16,13 @@
     """Source and sink of a flow; keeps the body."""
 
     def __init__(self) -> None:
-        self.body, self.whole = bytearray(), False
+        self.body, self.is_whole = bytearray(), False
 
     def write_body(self, data: bytes) -> None:
         self.body += data
 
     def finish_body(self) -> None:
-        self.whole = True
+        self.is_whole = True
 
     def abort_body(self) -> None:
         raise AssertionError("the body is whole")
@@ -50,9 +50,9 @@
     def flow(length: int | None) -> Flow:
         body = _Body()
         bodies.append(body)
-        made = Flow(body, length, 0.0, 2.0, 0.0)
-        made.attach(body, 0.0)
-        return made
+        message_flow = Flow(body, length, 0.0, 2.0, 0.0)
+        message_flow.attach(body, 0.0)
+        return message_flow
 
     reader = (RequestReader if is_request else ResponseReader)(flow)
     messages: list[Message] = []
@@ -61,13 +61,13 @@
             messages += reader.feed(piece)
     if at_end and reader.error is None:
         messages += reader.finish()
-    rests = iter(bodies)
+    remaining_bodies = iter(bodies)
     parsed = []
     for message in messages:
-        rest = next(rests) if message.body_flow is not None else None
-        body = message.body + bytes(rest.body) if rest is not None else message.body
-        whole = rest is None or rest.whole
-        parsed.append((message.method, message.target, message.status, body, message.keep_alive, whole))
+        streamed = next(remaining_bodies) if message.body_flow is not None else None
+        body = message.body + bytes(streamed.body) if streamed is not None else message.body
+        is_whole = streamed is None or streamed.is_whole
+        parsed.append((message.method, message.target, message.status, body, message.keep_alive, is_whole))
     return parsed, reader.error is not None
 
 
@@ -144,7 +144,7 @@
     parsed, is_broken = _parse(is_request, [text], at_end=True)
     assert not is_broken
     assert [body for _, _, _, body, _, _ in parsed] == bodies
-    assert all(whole for *_, whole in parsed)
+    assert all(is_whole for *_, is_whole in parsed)
     if name == "absolute target":
         assert parsed[0][1] == b"/a?b=1"
 
--- a/tests/streaming/test_refused_uploads.py
+++ b/tests/streaming/test_refused_uploads.py
@@ -119,14 +119,14 @@
     floor, now = RateFloor(0.0), 0.0
     for _ in range(1000):
         now += 0.1
-        assert now <= floor.due <= now + GRACE_SECONDS
+        assert now <= floor.deadline <= now + GRACE_SECONDS
         floor.credit(round(0.1 * MIN_BODY_RATE) + 1, now)
 
 
 def test_peer_below_the_rate_floor_becomes_overdue() -> None:
     """Half of the least rate, checked between two pieces."""
     floor, now = RateFloor(0.0), 0.0
-    while now + 0.09 <= floor.due:
+    while now + 0.09 <= floor.deadline:
         now += 0.1
         floor.credit(round(0.05 * MIN_BODY_RATE), now)
         assert now < 4 * GRACE_SECONDS
@@ -135,4 +135,4 @@
 def test_bytes_that_were_read_late_count_for_the_peer() -> None:
     floor = RateFloor(0.0)
     floor.credit(round(MIN_BODY_RATE), 10.0)
-    assert floor.due == pytest.approx(11.0)
+    assert floor.deadline == pytest.approx(11.0)
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -79,12 +79,12 @@
 
 
 def test_cooldowns_differ_between_breakers() -> None:
-    found = set()
+    cooldowns = set()
     for seed in range(5):
         breaker = Breaker(Random(seed))
         fail_times(breaker, NOW)
-        found.add(remaining_cooldown(breaker, NOW))
-    assert len(found) == 5
+        cooldowns.add(remaining_cooldown(breaker, NOW))
+    assert len(cooldowns) == 5
 
 
 def test_a_half_open_breaker_admits_a_single_trial(breaker: Breaker) -> None:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -11,7 +11,7 @@
 
 from .helpers import Driver
 from .test_rules import pass_time
-from .test_shedding import HIGH_WORTH, LOW_WORTH, overloaded, refused
+from .test_shedding import HIGH_WORTH, LOW_WORTH, overloaded_driver, refused_count
 
 SCATTERED = RequestClass("list", 1500 * MS, 6000 * MS, Effect.IDEMPOTENT)
 SHORT_AIM = RequestClass("open", 200 * MS, 2000 * MS, Effect.IDEMPOTENT)
@@ -29,7 +29,7 @@
     assert len(driver.running()) * balancers == total
 
 
-def answer(driver: Driver, request_class: RequestClass, latency: int) -> None:
+def submit_and_answer(driver: Driver, request_class: RequestClass, latency: int) -> None:
     """Submit a request and answer it after `latency`; timers fire meanwhile."""
     request = driver.submit(request_class, timeout=request_class.deadline)
     pass_time(driver, driver.now + latency)
@@ -43,18 +43,18 @@
     driver, random = Driver(settings, 3, classes=(SCATTERED,)), Random(5)
     open_count = 0
     for _ in range(1500):
-        answer(driver, SCATTERED, max(MS, round(random.expovariate(1 / (200 * MS)))))
+        submit_and_answer(driver, SCATTERED, max(MS, round(random.expovariate(1 / (200 * MS)))))
         open_count += sum(not host.breaker.is_closed for host in driver.balancer._hosts.values())
     assert len(driver.sent_attempts) < 1500 * 1.03
     assert open_count == 0
 
 
 def test_a_silent_host_is_detected_soon_where_latencies_scatter_little() -> None:
-    """The late multiple falls until healthy hosts stay just below it, so that silence shows soon."""
+    """The late multiple falls to just above the latencies of healthy hosts, so silence is detected soon."""
     settings = Settings((SCATTERED,), may_hedge=True, may_cancel=True)
     driver, random = Driver(settings, 3, classes=(SCATTERED,)), Random(5)
     for _ in range(1500):
-        answer(driver, SCATTERED, round(random.uniform(190, 210) * MS))
+        submit_and_answer(driver, SCATTERED, round(random.uniform(190, 210) * MS))
     request = driver.submit(SCATTERED, timeout=SCATTERED.deadline)
     submitted_at = driver.now
     pass_time(driver, submitted_at + 600 * MS)
@@ -64,35 +64,35 @@
 
 
 def limit_after(request_class: RequestClass, latency: int) -> float:
-    """Return the change of a limit by ten answers of this latency, after ones of 50 and 100 ms."""
+    """Return how ten answers of this latency change a limit, after answers in 50 and 100 ms."""
     driver = Driver(Settings((SHORT_AIM, LONG_AIM), may_cancel=True), 1, classes=(SHORT_AIM, LONG_AIM))
     for _ in range(20):
-        answer(driver, SHORT_AIM, 50 * MS)
-        answer(driver, LONG_AIM, 100 * MS)
+        submit_and_answer(driver, SHORT_AIM, 50 * MS)
+        submit_and_answer(driver, LONG_AIM, 100 * MS)
     limit_before = driver.balancer._hosts[1].limit
     for _ in range(10):
-        answer(driver, request_class, latency)
+        submit_and_answer(driver, request_class, latency)
     return driver.balancer._hosts[1].limit - limit_before
 
 
 def test_slow_answers_of_a_class_with_a_long_aim_cut_limits() -> None:
-    """Any answer within 2 s, half of its aim, raised the limits, and answers of the short aim came late."""
+    """Answers within 2 s, half of an aim of 4 s, raised limits, and those with an aim of 200 ms were late."""
     assert limit_after(LONG_AIM, 600 * MS) < 0
     assert limit_after(LONG_AIM, 100 * MS) >= 0
     assert limit_after(SHORT_AIM, 160 * MS) < 0
 
 
-def test_a_class_with_a_short_aim_leaves_other_classes_their_latency_scatter() -> None:
+def test_the_target_latency_of_a_class_allows_for_its_own_scatter() -> None:
     """Held to 1.2 medians, one answer in three cut a limit by its normal scatter alone."""
     tight_aim = RequestClass("open", 120 * MS, 2000 * MS, Effect.IDEMPOTENT)
     driver = Driver(Settings((tight_aim, LONG_AIM), may_cancel=True), 1, classes=(tight_aim, LONG_AIM))
     for _ in range(20):
-        answer(driver, tight_aim, 50 * MS)
-        answer(driver, LONG_AIM, 100 * MS)
+        submit_and_answer(driver, tight_aim, 50 * MS)
+        submit_and_answer(driver, LONG_AIM, 100 * MS)
     before = driver.balancer._hosts[1].limit
-    answer(driver, LONG_AIM, 180 * MS)
+    submit_and_answer(driver, LONG_AIM, 180 * MS)
     assert driver.balancer._hosts[1].limit >= before
-    answer(driver, LONG_AIM, 240 * MS)
+    submit_and_answer(driver, LONG_AIM, 240 * MS)
     assert driver.balancer._hosts[1].limit < before
 
 
@@ -101,12 +101,12 @@
     """Two gateways cut some hosts to one request from each, and refused a fifth of the requests."""
     driver = Driver(Settings((LONG_AIM,), balancers=balancers), 1, classes=(LONG_AIM,))
     for _ in range(60):
-        answer(driver, LONG_AIM, 3000 * MS)
+        submit_and_answer(driver, LONG_AIM, 3000 * MS)
     assert driver.balancer._hosts[1].limit == min_limit
 
 
 def test_pooled_limits_bound_the_sum_of_requests_in_flight() -> None:
-    """One request from each of twenty balancers is twenty at a host of three cores, and overloaded it."""
+    """One request from each of twenty balancers kept a host of three cores overloaded."""
     driver = Driver(Settings((LONG_AIM,), balancers=20), 12, classes=(LONG_AIM,))
     for host in driver.balancer._hosts.values():
         host.limit = host.min_limit
@@ -130,7 +130,7 @@
         for sent in random.sample(driver.running(), len(driver.running()) // 2):
             driver.end_attempt(sent, random.choice((Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.RESET)))
         if random.random() < 0.05:
-            started = random.choice((0, driver.now))  # some restart, and what was in flight there is lost
+            started = random.choice((0, driver.now))  # a restart loses the requests in flight
             driver.list_servers(Server(each, started_at=started) for each in random.sample(range(1, 9), 5))
         hosts = balancer._hosts.values()
         changed += any(host.limit not in (0.25, 1.0) for host in hosts)
@@ -141,10 +141,10 @@
 
 def test_shedding_spares_the_worst_served_class_where_the_goal_weighs_it() -> None:
     """The class of least worth was refused entirely, though the worst-served one was a fifth of the goal."""
-    unweighted = overloaded()
-    weighted = overloaded(worst_class_weight=1.0)
-    assert refused(unweighted, LOW_WORTH, 50) > 1.3 * refused(unweighted, HIGH_WORTH, 50)
-    assert refused(weighted, LOW_WORTH, 50) < 1.1 * refused(weighted, HIGH_WORTH, 50)
+    unweighted = overloaded_driver()
+    weighted = overloaded_driver(worst_class_weight=1.0)
+    assert refused_count(unweighted, LOW_WORTH, 50) > 1.3 * refused_count(unweighted, HIGH_WORTH, 50)
+    assert refused_count(weighted, LOW_WORTH, 50) < 1.1 * refused_count(weighted, HIGH_WORTH, 50)
 
 
 @pytest.mark.parametrize(
@@ -158,7 +158,7 @@
         request = driver.submit(LONG_AIM, timeout=LONG_AIM.deadline)
         driver.now += 50 * MS
         driver.end_attempt(driver.running(request)[0], outcome)
-        answer(driver, LONG_AIM, 50 * MS)
+        submit_and_answer(driver, LONG_AIM, 50 * MS)
     host = driver.balancer._hosts[1]
     assert (host.limit < 3) is cuts
 
@@ -170,7 +170,7 @@
     small, large = (driver.balancer._hosts[server] for server in (1, 2))
     assert (small.limit, large.limit) == (5.0, 15.0)
     assert (small.min_limit, large.min_limit) == (2.5, 7.5)
-    large.limit = 4.0  # as learned; it must stay when the list comes again with another server
+    large.limit = 4.0  # a learned limit must survive a new list with one more server
     driver.list_servers((Server(1, weight=1.0), Server(2, weight=3.0), Server(3, weight=2.0)))
     assert large.limit == 4.0
     assert driver.balancer._hosts[3].limit == 10.0
@@ -190,7 +190,7 @@
 
 
 def test_servers_are_compared_by_weight_only_where_weights_are_capacities() -> None:
-    """Hosts of two and of three cores were taken for equally loaded by the same number of requests."""
+    """Hosts of two and of three cores counted as equally loaded with the same number of requests."""
     by_capacity = sends_per_server(Settings((SCATTERED,)))
     assert by_capacity[2] > 1.6 * by_capacity[1]
     by_load = sends_per_server(Settings((SCATTERED,), weight_is_capacity=False))
@@ -220,7 +220,7 @@
     for request_class, latency in ((LONG_AIM, 30 * MS), (unknown, 10 * MS)):
         driver.classes = (request_class,)
         for _ in range(30):
-            answer(driver, request_class, latency)
+            submit_and_answer(driver, request_class, latency)
         driver.classes = (LONG_AIM,)
         request = driver.submit(LONG_AIM, timeout=LONG_AIM.deadline)
         targets.append(driver.balancer._target_latency(driver.balancer._pending[request]))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -29,10 +29,10 @@
 TARGET_CONNECTIONS = 3 * DESCRIPTORS
 
 
-@pytest.mark.parametrize("sends", [b"", b"GET /page-read HTTP/1.1\r\nX-Request"])
+@pytest.mark.parametrize("first_bytes", [b"", b"GET /page-read HTTP/1.1\r\nX-Request"])
 @async_test
 async def test_idle_clients_can_t_use_up_the_descriptors_while_discovery_is_down(
-    tmp_path: Path, sends: bytes
+    tmp_path: Path, first_bytes: bytes
 ) -> None:
     """Once discovery is back, the watch opens, hosts are reached, clients served and operators answered."""
     is_down = True
@@ -43,18 +43,18 @@
         else:
             writer.write(HEAD + chunk(line(42, host.discovery_entry())))
 
-    async with scripted_servers(answers_with(), discovery) as (host, service):
+    async with scripted_servers(answers_with(), discovery) as (host, discovery_server):
         config = platform_config(
-            service.port, limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS}
+            discovery_server.port, limits={"cores": 1.0, "memory_mb": 192, "sockets": DESCRIPTORS}
         )
         async with running_with_control(tmp_path, config) as (process, port, control):
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
             stop = asyncio.Event()
-            connecting = asyncio.create_task(_keep_connecting(port, sends, process.pid, stop))
-            await wait_until(lambda: len(service.requests) > 3)
+            connecting = asyncio.create_task(_keep_connecting(port, first_bytes, process.pid, stop))
+            await wait_until(lambda: len(discovery_server.requests) > 3)
             assert (await control_call(control, "HEALTH")).startswith(("+OK", "-ERR"))
             is_down = False
-            await wait_until(lambda: _watched(service))
+            await wait_until(lambda: _has_open_watch(discovery_server))
             while await up_status(port) != 200:
                 await asyncio.sleep(0.01)
             client = await Client.connect(port)
@@ -64,21 +64,24 @@
             assert await connecting <= DESCRIPTORS - RESERVED_FOR_HOSTS
 
 
-def _watched(service: ScriptedServer) -> bool:
-    return any(not writer.is_closing() for writer in service.writers)
+def _has_open_watch(discovery_server: ScriptedServer) -> bool:
+    return any(not writer.is_closing() for writer in discovery_server.writers)
 
 
-async def _keep_connecting(port: int, sends: bytes, process: int, stop: asyncio.Event) -> int:
-    """Keep opening connections until `stop`; return the peak of the gateway's open descriptors."""
+async def _keep_connecting(port: int, first_bytes: bytes, pid: int, stop: asyncio.Event) -> int:
+    """Keep as many connections open as the gateway allows, up to `TARGET_CONNECTIONS`, until `stop`.
+
+    Each sends `first_bytes` and no more. Returns the peak of the gateway's open descriptors.
+    """
     clients: list[Client] = []
     peak = 0
     while not stop.is_set():
         clients = [client for client in clients if not client.writer.is_closing()]
         while len(clients) < TARGET_CONNECTIONS and not stop.is_set():
             client = await Client.connect(port)
-            client.writer.write(sends)
+            client.writer.write(first_bytes)
             clients.append(client)
-            peak = max(peak, len(os.listdir(f"/proc/{process}/fd")))
+            peak = max(peak, len(os.listdir(f"/proc/{pid}/fd")))
         await asyncio.sleep(0.01)
     for client in clients:
         client.close()
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -51,30 +51,36 @@
 
 
 @dataclass
-class _Scene:
+class _ProgramUnderTest:
+    """The running program, its only host, and a client that is connected to it."""
+
     host: ScriptedServer
     client: Client
     process: asyncio.subprocess.Process
     stopped_at: float = 0.0  # monotonic time of SIGTERM
 
     async def stop(self) -> None:
+        """Send SIGTERM, and wait until the process has logged that it is stopping."""
         self.process.send_signal(signal.SIGTERM)
         self.stopped_at = time.monotonic()
         await wait_for_log(self.process, "stopping")
 
-    async def answer(self) -> Message:
+    async def read_answer(self) -> Message:
         """Return the client's answer, which must arrive before the process may be killed."""
         async with asyncio.timeout(self.stopped_at + KILL_DELAY_SECONDS - time.monotonic()):
             return await self.client.read_answer()
 
 
 @asynccontextmanager
-async def _scene(folder: Path, script: Script = never_answers) -> AsyncIterator[_Scene]:
-    async with scripted_servers(script, _watch) as (host, service):
-        config = platform_config(service.port, host.discovery_entry(), settings=_settings())
+async def _program_under_test(
+    folder: Path, script: Script = never_answers
+) -> AsyncIterator[_ProgramUnderTest]:
+    """Run the program with one host, which runs `script`, and one client."""
+    async with scripted_servers(script, _watch) as (host, discovery_server):
+        config = platform_config(discovery_server.port, host.discovery_entry(), settings=_settings())
         async with running_program(folder, config) as process:
             client = await Client.connect(await listen_port(process))
-            yield _Scene(host, client, process)
+            yield _ProgramUnderTest(host, client, process)
 
 
 def _upload(body: bytes = BODY) -> bytes:
@@ -85,14 +91,14 @@
 
 @async_test
 async def test_an_upload_that_completes_late_is_answered_before_the_kill(tmp_path: Path) -> None:
-    async with _scene(tmp_path) as scene:
+    async with _program_under_test(tmp_path) as program:
         text = _upload()
-        scene.client.writer.write(text[:-1000])
-        await wait_until(lambda: scene.host.requests or scene.host.received_bytes > 100_000)
-        await scene.stop()
+        program.client.writer.write(text[:-1000])
+        await wait_until(lambda: program.host.requests or program.host.received_bytes > 100_000)
+        await program.stop()
         await asyncio.sleep(1.0)
-        scene.client.writer.write(text[-1000:])
-        answer = await scene.answer()
+        program.client.writer.write(text[-1000:])
+        answer = await program.read_answer()
         assert answer.status in FAILURE_STATUSES, "the host may have started to execute the request"
         assert not answer.keep_alive
 
@@ -100,19 +106,19 @@
 @async_test
 async def test_an_upload_that_would_outlast_the_process_is_answered_before_the_kill(tmp_path: Path) -> None:
     """The host does not have the last byte, so a refusal is a correct answer too."""
-    async with _scene(tmp_path) as scene:
-        text, step = _upload(), 20_000
-        scene.client.writer.write(text[: 5 * step])
-        await wait_until(lambda: scene.host.received_bytes > 2 * step)
-        await scene.stop()
+    async with _program_under_test(tmp_path) as program:
+        text, step_bytes = _upload(), 20_000
+        program.client.writer.write(text[: 5 * step_bytes])
+        await wait_until(lambda: program.host.received_bytes > 2 * step_bytes)
+        await program.stop()
 
         async def keep_sending() -> None:
-            for position in range(5 * step, len(text), step):
-                await asyncio.sleep(step / 80_000)
-                scene.client.writer.write(text[position : position + step])
+            for position in range(5 * step_bytes, len(text), step_bytes):
+                await asyncio.sleep(step_bytes / 80_000)
+                program.client.writer.write(text[position : position + step_bytes])
 
         sending = asyncio.get_running_loop().create_task(keep_sending())
-        answer = await scene.answer()
+        answer = await program.read_answer()
         sending.cancel()
         assert answer.status in {*FAILURE_STATUSES, REFUSAL_STATUS}
         assert not answer.keep_alive
@@ -121,22 +127,22 @@
 @async_test
 async def test_a_request_that_is_still_being_received_is_refused_before_the_kill(tmp_path: Path) -> None:
     """Nothing of it was forwarded: the client is refused before the request is complete."""
-    async with _scene(tmp_path) as scene:
-        text, step = _upload(BODY[:60_000]), 1_000
-        scene.client.writer.write(text[:step])
+    async with _program_under_test(tmp_path) as program:
+        text, step_bytes = _upload(BODY[:60_000]), 1_000
+        program.client.writer.write(text[:step_bytes])
 
         async def keep_sending() -> None:
-            for position in range(step, len(text) - step, step):
-                await asyncio.sleep(step / 40_000)
-                scene.client.writer.write(text[position : position + step])
+            for position in range(step_bytes, len(text) - step_bytes, step_bytes):
+                await asyncio.sleep(step_bytes / 40_000)
+                program.client.writer.write(text[position : position + step_bytes])
 
         sending = asyncio.get_running_loop().create_task(keep_sending())
-        await scene.stop()
+        await program.stop()
         await asyncio.sleep(1.0)
         await sending  # all but the last part is sent
-        answer = await scene.answer()
+        answer = await program.read_answer()
         assert answer.status in {408, REFUSAL_STATUS}
-        assert not scene.host.requests
+        assert not program.host.requests
 
 
 @async_test
@@ -144,10 +150,10 @@
     tmp_path: Path,
 ) -> None:
     """The connection is still open at SIGTERM; the request's own deadline is after the kill."""
-    async with _scene(tmp_path) as scene:
+    async with _program_under_test(tmp_path) as program:
         text = _upload(b"coins")
-        scene.client.writer.write(text[:30])
-        await scene.stop()
+        program.client.writer.write(text[:30])
+        await program.stop()
         await asyncio.sleep(0.65)
-        scene.client.writer.write(text[30:])
-        assert (await scene.answer()).status in FAILURE_STATUSES
+        program.client.writer.write(text[30:])
+        assert (await program.read_answer()).status in FAILURE_STATUSES
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -51,7 +51,7 @@
 
 
 def fleet_with_silence(seed: int) -> Fleet:
-    """Two gateways in distant zones and a few large servers, one of which never answers."""
+    """A gateway in each of two distant zones, and a few large servers, one of which never answers."""
     fault = make_fault(2, is_silent=True)
     return Fleet(
         make_machines(8, (8,)), REQUEST_KINDS, 2, 0.6, [fault], zones="ab", cross_zone_delay=8 * MS, seed=seed
@@ -83,7 +83,10 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("window", [30 * SECOND, 800 * MS])
 def test_no_order_runs_twice_as_servers_restart_and_a_zone_drains(window: int, seed: int) -> None:
-    """Answers are lost after requests ran, half a zone fails and then drains; clients retry anywhere."""
+    """Answers are lost after requests ran; half of a zone fails, then all of it drains.
+
+    Clients retry at any gateway.
+    """
     order = RequestClass("order", 2000 * MS, 5000 * MS, Effect.KEYED, Scope.ZONE, window, worth=8.0)
     silent_fault, error_fault = make_fault(2, 4, is_silent=True), make_fault(1, 3, error_share=0.6)
     kinds = (RequestKind(order, 0.6, 60 * MS, 60 * MS), RequestKind(PAY, 0.4, 60 * MS, 60 * MS))
@@ -121,7 +124,7 @@
         ({"Request": lambda number: [Refuse(number), Send(number, 1)]}, {"send after its answer"}),
         ({}, {"no answer in time"}),
         ({"Request": lambda number: [Send(number, 1), Send(number, 2)]}, {"effect ran twice"}),
-        # The zone of the first server drops the second attempt.
+        # Both servers are in one zone, which drops the second attempt.
         ({"Request": lambda number: [Send(number, 1), Send(number, 3)]}, set()),
         ({"Request": lambda number: [Send(number, 5)]}, {"send to a server that is not ready"}),
         (SENDS_TO_SERVER | {"AttemptEnded": lambda number: [Fail(number)]}, {"second answer"}),
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -115,15 +115,15 @@
         client = await proxy.client()
         await wait_until(lambda: proxy.frontend.connections)
         (connection,) = proxy.frontend.connections
-        due = connection.wait_deadline
+        first_deadline = connection.wait_deadline
         client.writer.write(request_text()[:30])
         await wait_until(lambda: connection._request_reader.has_begun)
-        assert connection.wait_deadline == due
+        assert connection.wait_deadline == first_deadline
         client.writer.write(request_text()[30:])
         await client.read_answer()
         client.writer.write(request_text()[:30])  # a later one has a timeout of its own
         await wait_until(lambda: connection._request_reader.has_begun)
-        assert due < connection.wait_deadline < asyncio.get_running_loop().time() + 10.0
+        assert first_deadline < connection.wait_deadline < asyncio.get_running_loop().time() + 10.0
 
 
 @async_test
@@ -152,7 +152,7 @@
 
 @async_test
 async def test_too_many_pipelined_requests_are_rejected() -> None:
-    """The request in progress gets its own answer: it may have run, and a refusal would deny that."""
+    """The request in progress gets its own answer: it may have run, and a refusal would say it had not."""
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
         client.writer.write(request_text("chapter-buy"))
@@ -192,11 +192,14 @@
 
 @asynccontextmanager
 async def _full_gateway(limit: int = 2) -> AsyncIterator[RunningGateway]:
-    """Run a gateway at its connection limit, with a request in progress on each connection."""
-    advising = replace(SETTINGS, sends_retry_after=True)
+    """Run a gateway at its connection limit, with a request in progress on each connection.
+
+    The requests must still be in progress at the end.
+    """
+    settings_with_retry_after = replace(SETTINGS, sends_retry_after=True)
     async with (
         scripted_servers(never_answers) as (host,),
-        running_gateway(host.member(), settings=advising, max_connections=limit) as proxy,
+        running_gateway(host.member(), settings=settings_with_retry_after, max_connections=limit) as proxy,
     ):
         busy_clients: list[Client] = []
         for _ in range(limit):  # one after the other, as an idle connection would be evicted
@@ -326,16 +329,16 @@
 @async_test
 async def test_an_id_in_use_is_rejected() -> None:
     async with scripted_servers(never_answers) as (host,), running_gateway(host.member()) as proxy:
-        same = {"X-Request-Id": "77"}
+        same_id = {"X-Request-Id": "77"}
         first, second = await proxy.client(), await proxy.client()
-        first.writer.write(request_text("chapter-buy", same))
+        first.writer.write(request_text("chapter-buy", same_id))
         await wait_until(lambda: host.requests)
-        assert (await second.fetch("chapter-buy", same)).status == 400
+        assert (await second.fetch("chapter-buy", same_id)).status == 400
         assert len(host.requests) == 1
         first.close()
         await wait_until(lambda: not proxy.frontend.active_request_ids)
         host.script = answers_with()
-        answers = {(await proxy.fetch("chapter-buy", same)).status for _ in range(20)}
+        answers = {(await proxy.fetch("chapter-buy", same_id)).status for _ in range(20)}
         assert 200 in answers  # the id is free now and after each answer
         assert 400 not in answers
 
@@ -417,7 +420,7 @@
 
 @async_test
 async def test_idle_connections_are_evicted_below_the_limit() -> None:
-    """Otherwise clients that can open fewer connections than the gateway accepts would use them up."""
+    """Otherwise clients that may open fewer connections than the limit would hold all of theirs idle."""
     client_limit = 4
     async with (
         scripted_servers(answers_with()) as (host,),
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -55,6 +55,7 @@
 
 
 def outcomes(events: list[Event]) -> list[Outcome]:
+    """Return the outcomes of the attempts that ended, in order."""
     return [event.outcome for event in events if isinstance(event, AttemptEnded)]
 
 
@@ -113,15 +114,15 @@
 @async_test
 async def test_a_purchase_still_connecting_at_its_deadline_is_refused() -> None:
     """No host received the request, so the client may safely retry."""
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+    with socket.socket() as full_listener:
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
         with contextlib.ExitStack() as stack:
             for _ in range(3):  # fills the backlog: further connections are never established
-                other = stack.enter_context(socket.socket())
-                other.setblocking(False)
-                other.connect_ex(full.getsockname())
-            member = Member(Server(1), full.getsockname())
+                pending_socket = stack.enter_context(socket.socket())
+                pending_socket.setblocking(False)
+                pending_socket.connect_ex(full_listener.getsockname())
+            member = Member(Server(1), full_listener.getsockname())
             async with running_gateway(member) as proxy:
                 assert (await proxy.fetch("chapter-buy", {"X-Deadline": "0.2"})).status == 503
 
@@ -189,11 +190,11 @@
 @async_test
 async def test_a_cold_host_gets_but_a_part() -> None:
     """Rule 4: the balancer gets each host's start time on its own clock."""
-    cold = Settings((READ, BUY), max_attempts=5, cold_share=0.13, ramp_time=24_000_000)
+    cold_settings = Settings((READ, BUY), max_attempts=5, cold_share=0.13, ramp_time=24_000_000)
     async with scripted_servers(answers_with(), answers_with()) as hosts:
         now = Clock().now()
         members = [hosts[0].member(kind="m2", started_at=now), hosts[1].member(kind="m2")]
-        async with running_gateway(*members, settings=cold) as proxy:
+        async with running_gateway(*members, settings=cold_settings) as proxy:
             for _ in range(40):
                 assert (await proxy.fetch(headers={"X-Cost-Hint": "80000"})).status == 200
             assert len(hosts[0].requests) < 10
@@ -215,8 +216,8 @@
 
 @async_test
 async def test_clients_that_leave_early_do_not_count_as_overload() -> None:
-    kind = RequestClass("page-read", 10_000 * MS, 15_000 * MS, Effect.IDEMPOTENT)
-    slow_settings = Settings((kind,), may_cancel=True)
+    slow_class = RequestClass("page-read", 10_000 * MS, 15_000 * MS, Effect.IDEMPOTENT)
+    slow_settings = Settings((slow_class,), may_cancel=True)
     async with (
         scripted_servers(never_answers) as (host,),
         running_gateway(host.member(), settings=slow_settings) as proxy,
@@ -288,7 +289,7 @@
         client = await proxy.client()
         assert (await client.fetch()).status == 503
         await wait_until(lambda: not proxy.gateway._pending)
-        # The first was still connecting, and the second had not begun.
+        # The first attempt was still connecting, and the second had not begun.
         assert attempt_outcomes == [Outcome.NOT_SENT, Outcome.CANCELLED]
         proxy.frontend.close()
         assert await client.read_to_end() == b""
@@ -321,20 +322,20 @@
 async def test_retry_after_is_forwarded() -> None:
     async with running_gateway() as proxy:
 
-        def handle_with_advice(event: Event, now: int) -> list[Action]:
+        def refuse_with_retry_after(event: Event, now: int) -> list[Action]:
             return [Refuse(event.id, 250 * MS)] if isinstance(event, Request) else []
 
-        replace_method(proxy.balancer, "handle", handle_with_advice)
+        replace_method(proxy.balancer, "handle", refuse_with_retry_after)
         answer = await proxy.fetch()
         assert (answer.status, answer.get(b"retry-after")) == (503, "0.250")
 
 
 @async_test
 async def test_a_hedge_s_loser_is_called_off() -> None:
-    """The slower of two attempts is cancelled when the other is answered; the client gets one answer."""
+    """The slower of two attempts is cancelled when the other has its answer; the client gets one answer."""
     async with (
         scripted_servers(answers_with(), answers_with()) as hosts,
-        running_gateway(*(h.member() for h in hosts), settings=SETTINGS) as proxy,
+        running_gateway(*(host.member() for host in hosts), settings=SETTINGS) as proxy,
     ):
         for _ in range(20):  # for the balancer to learn the usual latency
             await proxy.fetch()
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Hosts that fail or never answer one class of requests, while they serve the others."""
+"""Hosts that fail one class of requests, or never answer it, while they serve the others."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 async def test_a_host_that_fails_one_class_gets_few_requests_of_that_class(
     every: int, failure: Script
 ) -> None:
-    """Half of the purchases failed at one host, which served all reads: never three failures in a row."""
+    """Purchases failed at half of the hosts, which served all reads: no three failures came in a row."""
     async with (
         scripted_servers(fail_purchases(every, failure), serve_after_delay) as hosts,
         running_gateway(*(h.member() for h in hosts)) as proxy,
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -54,14 +54,14 @@
     async with scripted_servers(resets_connection, resets_connection) as hosts:
         members = [host.member() for host in hosts]
         async with running_gateway(*members, settings=_settings(scope=scope)) as proxy:
-            up, connections = proxy.upstream._on_connected, 0
+            on_connected, connections = proxy.upstream._on_connected, 0
 
             def connect_late(*args: Any) -> None:
                 nonlocal connections
                 connections += 1
                 if connections > 1:  # the retry's connection
                     _block_loop(DEDUP_WINDOW / SECOND)
-                up(*args)
+                on_connected(*args)
 
             replace_method(proxy.upstream, "_on_connected", connect_late)
             client = await proxy.client()
@@ -91,7 +91,7 @@
 
 
 class _StalledSender:
-    """A sender of attempts whose connections are established when a test says so."""
+    """A sender whose connections are established only when a test calls `blocked_outcome`."""
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
--- a/tests/test_late_loop.py
+++ b/tests/test_late_loop.py
@@ -70,11 +70,11 @@
             client.writer.write(request_text("chapter-buy" if index % 4 == 0 else "page-read"))
         answers = [(await client.read_answer()).status for client in clients]
         assert [status for index, status in enumerate(answers) if index % 4] == [503] * 15
-        served = [status for index, status in enumerate(answers) if index % 4 == 0]
+        purchase_statuses = [status for index, status in enumerate(answers) if index % 4 == 0]
         runs = Counter(request.get(b"x-request-id") for request in host.requests)
         assert set(runs.values()) == {1}
-        assert served.count(200) == len(runs)
-        assert set(served) <= {200, 503}
+        assert purchase_statuses.count(200) == len(runs)
+        assert set(purchase_statuses) <= {200, 503}
         assert all(request.method == b"POST" for request in host.requests)
 
 
@@ -82,13 +82,13 @@
 async def test_the_connection_of_a_refused_client_ends_and_it_may_reconnect() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await proxy.client()
-        waited = proxy.frontend.overload.should_reject
+        should_reject = proxy.frontend.overload.should_reject
         overload_process(proxy.frontend)
         answer = await client.fetch()
         assert (answer.status, answer.keep_alive) == (503, False)
         assert await client.read_to_end() == b""
         await wait_until(lambda: not proxy.frontend.connections)
-        replace_method(proxy.frontend.overload, "should_reject", waited)
+        replace_method(proxy.frontend.overload, "should_reject", should_reject)
         assert (await proxy.fetch()).status == 200
 
 
@@ -125,7 +125,7 @@
         (connection,) = proxy.frontend.connections
 
         def has_waited_too_long(seconds: float, now: float) -> bool:
-            # Arrives during the decision on the previous request.
+            # The second request arrives during the decision on the first, which is therefore parsed.
             client.writer.write(request_text("chapter-buy"))
             replace_method(proxy.frontend.overload, "should_reject", lambda seconds, now: False)
             return True
@@ -141,13 +141,13 @@
 async def test_retry_after_is_randomized_if_the_settings_allow_it(sends_retry_after: bool) -> None:
     async with running_gateway(settings=replace(SETTINGS, sends_retry_after=sends_retry_after)) as proxy:
         overload_process(proxy.frontend)
-        advice = {(await proxy.fetch()).get(b"retry-after") for _ in range(10)}
+        retry_after_values = {(await proxy.fetch()).get(b"retry-after") for _ in range(10)}
         if sends_retry_after:
             low, high = frontend.RETRY_AFTER_SECONDS
-            assert len(advice) > 5
-            assert all(low <= float(after or 0) <= high for after in advice)
+            assert len(retry_after_values) > 5
+            assert all(low <= float(value or 0) <= high for value in retry_after_values)
         else:
-            assert advice == {None}
+            assert retry_after_values == {None}
 
 
 @async_test
@@ -208,23 +208,23 @@
         handled: list[tuple[Event, int]] = []
         handle = proxy.balancer.handle
 
-        def recorded(event: Event, now: int) -> list[Action]:
+        def record_and_handle(event: Event, now: int) -> list[Action]:
             handled.append((event, now))
             return handle(event, now)
 
-        def slow(answer: object) -> None:
-            replied.append(proxy.gateway.clock.now())
+        def send_answer_slowly(answer: object) -> None:
+            answered_at.append(proxy.gateway.clock.now())
             time.sleep(LOOP_DELAY_SECONDS)
 
-        replace_method(proxy.balancer, "handle", recorded)
-        replied: list[int] = []
+        replace_method(proxy.balancer, "handle", record_and_handle)
+        answered_at: list[int] = []
         message = RequestReader().feed(request_text())[0]
-        proxy.gateway.submit_request(proxy.frontend.interpreter.interpret(message, 0.0), slow)
-        await wait_until(lambda: replied)
-        (_, begun), (ended, at) = handled
+        proxy.gateway.submit_request(proxy.frontend.interpreter.interpret(message, 0.0), send_answer_slowly)
+        await wait_until(lambda: answered_at)
+        (_, submitted_at), (ended, ended_at) = handled
         assert isinstance(ended, AttemptEnded)
-        assert at <= replied[0]
-        assert ended.latency <= replied[0] - begun + MS
+        assert ended_at <= answered_at[0]
+        assert ended.latency <= answered_at[0] - submitted_at + MS
 
 
 @async_test
@@ -240,8 +240,11 @@
         assert (await client.read_answer()).status == 200
 
 
-def _limit_after(waited: int) -> tuple[float, float]:
-    """Return a host's limit and the admitted share after late answers that waited here unread so long."""
+def _limit_after(local_delay: int) -> tuple[float, float]:
+    """Return a host's limit and the admitted share after late answers.
+
+    `local_delay`: microseconds for which each answer waited unread in the gateway.
+    """
     balancer = Balancer(SETTINGS, seed=1)
     balancer.handle(ServerList(Update.FULL, (Server(id=1),)), 0)
     now = 10**9
@@ -251,7 +254,7 @@
         if not isinstance(action, Send):  # refused, as the admitted share has fallen
             continue
         now += 390 * MS
-        balancer.handle(AttemptEnded(request, 0, 1, Outcome.OK, 390 * MS, True, None, waited), now)
+        balancer.handle(AttemptEnded(request, 0, 1, Outcome.OK, 390 * MS, True, None, local_delay), now)
     return balancer._hosts[1].limit, balancer._shedder.admitted_share
 
 
@@ -263,15 +266,15 @@
 
 
 def test_clients_that_are_here_go_before_a_crowd_that_wants_to_connect() -> None:
-    """Under overload, in a loop with the `PrioritySelector`, as in the real program."""
+    """Under overload; the event loop uses a `PrioritySelector`, as in the real program."""
     selector = PrioritySelector(OverloadControl([0.4]))
     selector.overload.is_overloaded = True
     replace_method(selector.overload, "advance", lambda now: None)
 
-    async def test() -> None:
+    async def check_order() -> None:
         async with (
             scripted_servers(never_answers, never_answers) as hosts,
-            running_gateway(*(h.member() for h in hosts), selector=selector) as proxy,
+            running_gateway(*(host.member() for host in hosts), selector=selector) as proxy,
         ):
             established_clients = [await proxy.client() for _ in range(8)]
             await wait_until(lambda: len(proxy.frontend.connections) == len(established_clients))
@@ -289,13 +292,13 @@
             await wait_until(
                 lambda: len(proxy.frontend.connections) == len(established_clients) + len(new_connections)
             )
-            for endpoint in new_connections:
-                endpoint.close()
+            for connection in new_connections:
+                connection.close()
             for client in established_clients:
                 client.close()
 
     with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
-        runner.run(asyncio.wait_for(test(), 2 * TEST_TIMEOUT_SECONDS))
+        runner.run(asyncio.wait_for(check_order(), 2 * TEST_TIMEOUT_SECONDS))
 
 
 def _free_port() -> int:
@@ -305,7 +308,10 @@
 
 
 async def _start(host: ScriptedServer, folder: Path) -> tuple[subprocess.Popen[bytes], int]:
-    """Start the real program with this host on its last known list; its discovery does not answer."""
+    """Start the real program with this host on its last known list; return the process and its port.
+
+    Nothing listens on the port of its discovery.
+    """
     port = _free_port()
     classes = [
         {"name": "page-read", "effect": "idempotent", "giveUp": 15_000_000, "onTime": 400_000, "worth": 3.0},
@@ -322,13 +328,13 @@
     config_file.write_text(json.dumps(config))
     environment = {**os.environ, "PROXY_CONFIG": str(config_file)}
     process = subprocess.Popen([sys.executable, "-m", "whinrouter"], env=environment)
-    due = time.monotonic() + TEST_TIMEOUT_SECONDS
+    deadline = time.monotonic() + TEST_TIMEOUT_SECONDS
     while True:
         try:
             (await Client.connect(port)).close()
             return process, port
         except OSError:
-            assert time.monotonic() < due
+            assert time.monotonic() < deadline
             await asyncio.sleep(0.05)
 
 
@@ -344,8 +350,8 @@
             host.requests.clear()
             process.send_signal(signal.SIGSTOP)
             for index, client in enumerate(clients):
-                kind = "chapter-buy" if index % 2 else "page-read"
-                client.writer.write(request_text(kind, {"X-Deadline": "0.3" if index < 8 else "14"}))
+                class_name = "chapter-buy" if index % 2 else "page-read"
+                client.writer.write(request_text(class_name, {"X-Deadline": "0.3" if index < 8 else "14"}))
             late_client = await Client.connect(port)  # waits in the backlog
             late_client.writer.write(request_text(headers={"X-Deadline": "0.3"}))
             await asyncio.sleep(1.0)
--- a/tests/test_leaving_clients.py
+++ b/tests/test_leaving_clients.py
@@ -41,10 +41,10 @@
 class RawClient:
     """A client whose calls take effect without a turn of the event loop."""
 
-    def __init__(self, port: int, room: int = 0) -> None:
+    def __init__(self, port: int, receive_buffer_bytes: int = 0) -> None:
         self._socket = socket.socket()
-        if room:
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
+        if receive_buffer_bytes:
+            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self._socket.connect(("127.0.0.1", port))
         self._socket.setblocking(False)
 
@@ -52,6 +52,7 @@
         return self._socket.send(data)
 
     def leave(self, ending: str) -> None:
+        """Close the connection; `ending`: with a TCP "reset" or an ordinary "end"."""
         if ending == "reset":
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self._socket.close()
@@ -73,13 +74,14 @@
         self._connection: socket.socket | None = None
         self.member = Member(Server(hashed_server_id("raw")), ("127.0.0.1", self._listener.getsockname()[1]))
 
-    async def request(self) -> bytes:
+    async def read_request(self) -> bytes:
+        """Return the bytes of the next request, which must arrive in one piece."""
         loop = asyncio.get_running_loop()
         if self._connection is None:
             self._connection, _ = await loop.sock_accept(self._listener)
         return await loop.sock_recv(self._connection, 1 << 16)
 
-    def answer(self, text: bytes) -> None:
+    def send_answer(self, text: bytes) -> None:
         assert self._connection is not None
         self._connection.send(text)
 
@@ -99,16 +101,16 @@
 
 def _before_connected(proxy: RunningGateway, act: Callable[[], None]) -> None:
     """Call `act` when a connection to a host has been set up, just before the gateway handles that."""
-    up = proxy.upstream._on_connected
+    on_connected = proxy.upstream._on_connected
 
     def delayed(*args: Any) -> None:
         act()
-        up(*args)
+        on_connected(*args)
 
     replace_method(proxy.upstream, "_on_connected", delayed)
 
 
-async def _all_released(proxy: RunningGateway) -> None:
+async def _wait_until_all_released(proxy: RunningGateway) -> None:
     """Wait until all requests are over, and check that everything they held is released."""
     await wait_until(lambda: not proxy.frontend.connections)
     await wait_until(lambda: not proxy.gateway._pending and not proxy.upstream._connecting)
@@ -121,36 +123,38 @@
 
 
 def _all_answered(proxy: RunningGateway, host: ScriptedServer, sent_requests: int) -> bool:
+    """Return whether the host has received all requests that were sent, and none is unanswered."""
     return len(host.requests) == sent_requests and not proxy.gateway.unanswered_count
 
 
-async def _still_serves(proxy: RunningGateway) -> None:
+async def _check_still_serves(proxy: RunningGateway) -> None:
     assert (await proxy.fetch()).status == 200
 
 
 @pytest.mark.parametrize("ending", ["end", "reset"])
-@pytest.mark.parametrize("kind", ["page-read", "chapter-buy"])
+@pytest.mark.parametrize("class_name", ["page-read", "chapter-buy"])
 @async_test
-async def test_a_client_leaves_while_the_connection_to_a_host_is_set_up(ending: str, kind: str) -> None:
+async def test_a_client_leaves_while_the_connection_to_a_host_is_set_up(ending: str, class_name: str) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         clients: list[RawClient] = []
 
-        def leaves() -> None:
+        def leave() -> None:
             if clients:
                 clients.pop().leave(ending)
                 _wait_for_client_end(proxy)
 
-        _before_connected(proxy, leaves)
+        _before_connected(proxy, leave)
         clients.append(RawClient(proxy.port))
-        clients[0].send(request_text(kind))
-        await _all_released_after(proxy, clients)
+        clients[0].send(request_text(class_name))
+        await _wait_until_left_and_released(proxy, clients)
         assert not host.requests
-        await _still_serves(proxy)
+        await _check_still_serves(proxy)
 
 
-async def _all_released_after(proxy: RunningGateway, clients: list[RawClient]) -> None:
+async def _wait_until_left_and_released(proxy: RunningGateway, clients: list[RawClient]) -> None:
+    """Wait until `clients` is empty, as its only client has left, and until all requests are released."""
     await wait_until(lambda: not clients)
-    await _all_released(proxy)
+    await _wait_until_all_released(proxy)
 
 
 REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
@@ -159,52 +163,52 @@
 
 
 @pytest.mark.parametrize("ending", ["end", "reset"])
-@pytest.mark.parametrize(("kind", "answer"), [("page-read", SERVER_ERROR), ("chapter-buy", REFUSED)])
+@pytest.mark.parametrize(("class_name", "answer"), [("page-read", SERVER_ERROR), ("chapter-buy", REFUSED)])
 @async_test
-async def test_a_client_leaves_before_a_retry(ending: str, kind: str, answer: bytes) -> None:
+async def test_a_client_leaves_before_a_retry(ending: str, class_name: str, answer: bytes) -> None:
     """The host's answer, which causes a retry, and the client's end are reported in the same turn."""
-    raw = RawHost()
-    async with scripted_servers(answers_with()) as (other,), running_gateway(raw.member) as proxy:
+    raw_host = RawHost()
+    async with scripted_servers(answers_with()) as (other_host,), running_gateway(raw_host.member) as proxy:
         client = RawClient(proxy.port)
-        client.send(request_text(kind))
-        await raw.request()
-        proxy.gateway.update_hosts(make_host_list(raw.member, other.member()))
-        raw.answer(answer)
+        client.send(request_text(class_name))
+        await raw_host.read_request()
+        proxy.gateway.update_hosts(make_host_list(raw_host.member, other_host.member()))
+        raw_host.send_answer(answer)
         client.leave(ending)
         _wait_for_client_end(proxy)
-        await _all_released(proxy)
-        assert not other.requests
-        await wait_until(lambda: other.connections == 0)
-        proxy.gateway.update_hosts(make_host_list(other.member()))
-        await _still_serves(proxy)
-    raw.close()
+        await _wait_until_all_released(proxy)
+        assert not other_host.requests
+        await wait_until(lambda: other_host.connections == 0)
+        proxy.gateway.update_hosts(make_host_list(other_host.member()))
+        await _check_still_serves(proxy)
+    raw_host.close()
 
 
 @pytest.mark.parametrize("ending", ["end", "reset"])
 @async_test
 async def test_a_client_leaves_while_its_request_is_queued_behind_another(ending: str) -> None:
     """The answer to the first request and the client's end are reported in the same turn."""
-    raw = RawHost()
-    async with running_gateway(raw.member) as proxy:
+    raw_host = RawHost()
+    async with running_gateway(raw_host.member) as proxy:
         client = RawClient(proxy.port)
         client.send(request_text() + request_text("chapter-buy"))
-        await raw.request()
-        raw.answer(SUCCESS)
+        await raw_host.read_request()
+        raw_host.send_answer(SUCCESS)
         client.leave(ending)
         _wait_for_client_end(proxy)
-        await _all_released(proxy)
+        await _wait_until_all_released(proxy)
         assert proxy.gateway._last_request_id == 1, "the second request was accepted"
-    raw.close()
+    raw_host.close()
 
 
 @async_test
 async def test_a_client_leaves_with_bytes_of_an_earlier_answer_unread() -> None:
-    """The room in the output buffer, once the client reads these bytes, must not start a queued request."""
+    """Once the client reads these bytes and the output buffer drains, no queued request may start."""
     async with (
         scripted_servers(answers_with(body=bytes(60_000))) as (host,),
         running_gateway(host.member()) as proxy,
     ):
-        client = RawClient(proxy.port, room=4096)
+        client = RawClient(proxy.port, receive_buffer_bytes=4096)
         sent_requests = 0
         while not any(connection._is_writing_paused for connection in proxy.frontend.connections):
             client.send(request_text())
@@ -217,9 +221,9 @@
         client.shut_down_writing()
         while await client.read():
             pass
-        await _all_released(proxy)
+        await _wait_until_all_released(proxy)
         assert len(host.requests) == sent_requests
-        await _still_serves(proxy)
+        await _check_still_serves(proxy)
 
 
 @async_test
@@ -229,7 +233,7 @@
         scripted_servers(answers_with(body=bytes(300_000))) as (host,),
         running_gateway(host.member()) as proxy,
     ):
-        client = RawClient(proxy.port, room=4096)
+        client = RawClient(proxy.port, receive_buffer_bytes=4096)
         await wait_until(lambda: proxy.frontend.connections)
         (connection,) = proxy.frontend.connections
         assert connection._transport is not None
@@ -253,7 +257,7 @@
             assert data, "the answer is cut off"
             received += len(data)
         client.leave("end")
-        await _all_released(proxy)
+        await _wait_until_all_released(proxy)
 
 
 def _block_host_connections(monkeypatch: pytest.MonkeyPatch) -> asyncio.Event:
@@ -289,7 +293,10 @@
 async def _abandoned_upload(
     ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> AsyncIterator[tuple[ScriptedServer, RunningGateway, asyncio.Event]]:
-    """Let such a client leave; no connection to the host is set up before the event is set."""
+    """Run a gateway whose client left during an upload; yield the host, the gateway and an event.
+
+    No connection to the host is set up before the event is set.
+    """
     may_connect = _block_host_connections(monkeypatch)
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client = await _partly_received_upload(proxy)
@@ -303,15 +310,15 @@
 async def test_the_sweep_survives_a_client_that_left_unnoticed(
     ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its body is stalled, and an orderly end of the connection fails, as the connection is gone."""
+    """Its body is stalled; shutting down the sending side fails, as the connection is gone."""
     async with _abandoned_upload(ending, monkeypatch) as (host, proxy, may_connect):
         (connection,) = proxy.frontend.connections
         assert connection._incoming_flow is not None
-        connection._incoming_flow._rate_floor.due = 0.0
+        connection._incoming_flow._rate_floor.deadline = 0.0
         # Takes two sweeps, as the connection lingers behind its answer.
         await wait_until(lambda: not proxy.frontend.connections)
         may_connect.set()
-        await _all_released(proxy)
+        await _wait_until_all_released(proxy)
         assert not host.received_bytes
 
 
@@ -323,10 +330,10 @@
     """The input waits for a connection to a host while reading is paused: the client's end goes unnoticed."""
     async with _abandoned_upload(ending, monkeypatch) as (host, proxy, may_connect):
         may_connect.set()
-        await _all_released(proxy)
+        await _wait_until_all_released(proxy)
         await wait_until(lambda: host.closed_connections == host.connections)
         assert not host.received_bytes
-        await _still_serves(proxy)
+        await _check_still_serves(proxy)
 
 
 @pytest.mark.parametrize("ending", ["end", "reset"])
@@ -342,6 +349,6 @@
         deadline = asyncio.get_running_loop().time() + 0.1
         while asyncio.get_running_loop().time() < deadline:  # the loop is busy with something else
             pass
-        await _all_released(proxy)
+        await _wait_until_all_released(proxy)
         assert not host.requests
-        await _still_serves(proxy)
+        await _check_still_serves(proxy)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""The program at up to four times the load that it can serve, on real sockets and a quarter of a core.
+"""The program at one, two and four times the load that it can serve, on real sockets and a quarter of a core.
 
 Machines differ, so no figure is asserted, but the rules are: each request gets one answer, no purchase runs
 twice, and requests are served again after the load.
--- a/tests/test_overload_control.py
+++ b/tests/test_overload_control.py
@@ -70,7 +70,7 @@
 
 
 def test_without_overload_control_most_requests_are_late() -> None:
-    """The simulation shows the difference that overload control makes."""
+    """The model tells a process with overload control from one without it."""
     process = Process(control=OverloadControl([1e9]))
     process.work(10.0, arrivals(2 / SERVE_SECONDS, 0, 10.0))
     assert sum(wait > AIM_SECONDS for wait in process.served_waits) > 0.8 * len(process.served_waits)
@@ -104,12 +104,12 @@
 
 
 def test_cpu_quota_pauses_are_not_taken_for_overload() -> None:
-    """A container with half of a core stands still for half of each tenth of a second."""
+    """A container with half of a core is paused for half of every 100 ms."""
     process = Process()
     load = arrivals(0.25 / SERVE_SECONDS, 0, 10.0)
-    for piece in range(100):
-        process.now = max(process.now, piece * 0.1 + 0.05)
-        process.work(piece * 0.1 + 0.1, load)
+    for period in range(100):
+        process.now = max(process.now, period * 0.1 + 0.05)
+        process.work(period * 0.1 + 0.1, load)
     assert not process.rejected_at
 
 
--- a/tests/test_pooled_limits.py
+++ b/tests/test_pooled_limits.py
@@ -57,7 +57,7 @@
 
 
 def test_a_burst_overloads_few_servers() -> None:
-    """Limits that doubled with each answer let a burst overload half of the servers for the whole day."""
+    """Limits that doubled with each answer let a burst overload half of them, for the rest of the day."""
     fleets = [burst_at_servers_that_overload(seed) for seed in range(1, 5)]
     for fleet in fleets:
         fleet.run(16 * SECOND)
@@ -68,7 +68,10 @@
 
 
 def _zones_used(limit: float) -> list[str]:
-    """Return the zones of the requests of one of forty balancers, with this limit at each server."""
+    """Return the zones that one of forty balancers sends to, with this limit at each server.
+
+    Requests to the other zone have a price.
+    """
     settings = Settings(CLASSES, zone="a", balancers=40, cross_zone_price=0.03)
     balancer = Balancer(settings, seed=1)
     listed = servers(24)  # half of them are in its subset, and half of these in its zone
@@ -89,7 +92,7 @@
 
 
 def test_requests_cross_zones_once_the_pool_of_the_zone_is_half_full() -> None:
-    """A server without requests from this balancer looked idle, whatever the others had sent there."""
+    """A server without requests from this balancer looked idle, whatever other balancers had sent to it."""
     used = _zones_used(0.2)  # the pool of the six servers of the zone is 1.2
     assert used[0] == "a"
     assert "b" in used[1:4]
--- a/tests/test_priority_selector.py
+++ b/tests/test_priority_selector.py
@@ -22,14 +22,15 @@
         self.selector = PrioritySelector(self.overload)
         stack.callback(self.selector.close)
         self.listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
-        self.clients = [self._ready(stack) for _ in range(clients)]
+        self.clients = [self._ready_socket(stack) for _ in range(clients)]
         self.selector.client_descriptors.update(client.fileno() for client in self.clients)
-        self.host = self._ready(stack)
+        self.host = self._ready_socket(stack)
         stack.enter_context(socket.create_connection(self.listener.getsockname()))
         self.selector.register(self.listener, selectors.EVENT_READ)
         self.selector.listener_descriptors.add(self.listener.fileno())
 
-    def _ready(self, stack: ExitStack) -> socket.socket:
+    def _ready_socket(self, stack: ExitStack) -> socket.socket:
+        """Return a registered socket with unread input."""
         local, remote = socket.socketpair()
         stack.enter_context(local)
         stack.enter_context(remote).send(b"x")
@@ -37,12 +38,14 @@
         return local
 
     def overload_process(self) -> None:
+        """Make the overload control detect an overload: requests waited for a second, over an interval."""
         now = time.monotonic()
         self.overload.should_reject(1.0, now - 0.2)
         self.overload.should_reject(1.0, now)
         assert self.overload.is_overloaded
 
     def poll(self) -> list[socket.socket]:
+        """Return the sockets whose events the selector returns, in its order."""
         return [key.fileobj for key, _ in self.selector.select(0)]  # type: ignore[misc]
 
 
@@ -63,7 +66,7 @@
     seen: list[socket.socket] = []
     for _ in range(3):
         sockets.overload_process()
-        polled = [ready for ready in sockets.poll() if ready in sockets.clients]
+        polled = [ready_socket for ready_socket in sockets.poll() if ready_socket in sockets.clients]
         assert len(polled) == READS_PER_TURN
         for client in polled:
             client.recv(1)
@@ -142,7 +145,7 @@
     connection.remote.send(b"x")
     time.sleep(4 * WAIT_SECONDS)  # longer than the intervals of the overload detection
     sockets.overload_process()
-    for _ in range(4):  # the other clients come first
+    for _ in range(4):  # the clients that were ready before are returned first
         assert connection.local not in sockets.poll()
     sockets.overload.is_overloaded = False
     sockets.poll()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -96,22 +96,22 @@
     ):
         port = await listen_port(process)
         assert await up_status(port) == 200
-        holder, idler = await Client.connect(port), await Client.connect(port)
-        idler.writer.write(b"GET /up HTTP/1.1\r\n\r\n")
-        await idler.read_answer()
-        holder.writer.write(request_text("chapter-buy", {"X-Deadline": ""}))
+        waiting_client, idle_client = await Client.connect(port), await Client.connect(port)
+        idle_client.writer.write(b"GET /up HTTP/1.1\r\n\r\n")
+        await idle_client.read_answer()
+        waiting_client.writer.write(request_text("chapter-buy", {"X-Deadline": ""}))
         await wait_until(lambda: host.requests)
         process.send_signal(signal.SIGTERM)
-        signalled = time.monotonic()
+        signalled_at = time.monotonic()
         while await up_status(port) == 200:  # new connections are still accepted
             await asyncio.sleep(0.01)
         with contextlib.suppress(ConnectionError):
             while await up_status(port):
                 await asyncio.sleep(0.01)
-        assert time.monotonic() - signalled >= 0.4
-        assert await idler.read_to_end() == b""  # closed between requests
+        assert time.monotonic() - signalled_at >= 0.4
+        assert await idle_client.read_to_end() == b""  # closed between requests
         await answers_with(body=b"bought")(host.requests[0], host.request_writers[0])
-        answer = await holder.read_answer()
+        answer = await waiting_client.read_answer()
         assert (answer.status, answer.body, answer.keep_alive) == (200, b"bought", False)
         async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             assert await process.wait() == 0
@@ -260,5 +260,5 @@
     path.write_bytes(orjson.dumps(platform_config(1)))
     config = load({"PROXY_CONFIG": str(path), "PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:9001"})
     assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.2", 9001), ("127.0.0.1", 1))
-    assert (config.connect_time, config.idle_time, config.sockets) == (0.2, 60.0, 1024)
+    assert (config.connect_timeout, config.idle_timeout, config.sockets) == (0.2, 60.0, 1024)
     assert [kind.name for kind in config.settings.classes] == ["page-read", "chapter-buy"]
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -18,17 +18,18 @@
 ANY = RequestClass("other", 400 * MS, 1500 * MS)
 
 ROUTES = Routes(
-    Route(prefix, kind, frozenset([b"GET"]))
-    for prefix, kind in [(b"/page-read", READ), (b"/page-read/buy", BUY), (b"/chapter-buy", BUY)]
+    Route(prefix, request_class, frozenset([b"GET"]))
+    for prefix, request_class in [(b"/page-read", READ), (b"/page-read/buy", BUY), (b"/chapter-buy", BUY)]
 )
 ALL = Routes(
-    Route(prefix, kind, frozenset([b"GET"])) for prefix, kind in [(b"/", READ), (b"/chapter-buy", BUY)]
+    Route(prefix, request_class, frozenset([b"GET"]))
+    for prefix, request_class in [(b"/", READ), (b"/chapter-buy", BUY)]
 )
 
 
 def class_of(routes: Routes, target: bytes) -> str | None:
     found = routes.find(target)
-    return found.kind.name if found else None
+    return found.request_class.name if found else None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -56,7 +56,7 @@
     driver.now = until
 
 
-def step(driver: Driver, operation: str, number: int, detail: object) -> None:
+def apply_operation(driver: Driver, operation: str, number: int, detail: object) -> None:
     """Carry out one generated operation."""
     if operation == "submit":
         assert isinstance(detail, int)
@@ -90,7 +90,7 @@
 ) -> None:
     driver = Driver(options, count, seed)
     for operation, number, detail in steps:
-        step(driver, operation, number, detail)
+        apply_operation(driver, operation, number, detail)
     pass_time(driver, driver.now + SECOND)
     assert not driver.unanswered
     assert all(len(answers) == 1 for answers in driver.answers.values())
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -24,39 +24,40 @@
         pending_answers.append((driver.now + latency, driver.submit(CLASSES[number % 2])))
 
 
-def refused(driver: Driver, request_class: RequestClass, count: int) -> int:
+def refused_count(driver: Driver, request_class: RequestClass, count: int) -> int:
+    """Return how many of the last `count` requests of a class were refused."""
     requests = [number for number in driver.answers if driver.class_names[number] == request_class.name][
         -count:
     ]
     return sum(driver.answers[number] == ["refused"] for number in requests)
 
 
-def overloaded(gap: int = 20 * MS, worst_class_weight: float = 0.0) -> Driver:
+def overloaded_driver(gap: int = 20 * MS, worst_class_weight: float = 0.0) -> Driver:
     """Return a driver after two seconds of late answers."""
     driver = Driver(
         Settings(CLASSES, may_cancel=True, worst_class_weight=worst_class_weight), 12, classes=CLASSES
     )
     run_traffic(driver, 20 * MS, 10 * SECOND // gap // 5, gap)
-    assert not refused(driver, LOW_WORTH, 50)
+    assert not refused_count(driver, LOW_WORTH, 50)
     run_traffic(driver, 350 * MS, 2 * SECOND // gap, gap)
     return driver
 
 
 def test_late_answers_shed_requests_of_the_least_worth_first() -> None:
     """Queues longer than the clients' timeouts kept every server busy with work that no client waited for."""
-    driver = overloaded()
-    assert refused(driver, LOW_WORTH, 20) > 10
-    assert refused(driver, HIGH_WORTH, 20) < refused(driver, LOW_WORTH, 20)
+    driver = overloaded_driver()
+    assert refused_count(driver, LOW_WORTH, 20) > 10
+    assert refused_count(driver, HIGH_WORTH, 20) < refused_count(driver, LOW_WORTH, 20)
 
 
 def test_answers_in_time_end_the_shedding() -> None:
-    driver = overloaded()
+    driver = overloaded_driver()
     run_traffic(driver, 20 * MS, 400)
-    assert not refused(driver, LOW_WORTH, 20)
+    assert not refused_count(driver, LOW_WORTH, 20)
 
 
 def test_the_end_of_an_overload_is_detected_within_seconds_at_low_traffic() -> None:
-    """At 20 requests a second nearly all were refused for half a minute, as hardly any was admitted."""
+    """At 20 requests per second nearly all were refused for half a minute, as hardly any was admitted."""
     driver = Driver(Settings(CLASSES, may_cancel=True), 12, classes=CLASSES)
     run_traffic(driver, 20 * MS, 100)
     run_traffic(driver, 350 * MS, 800, gap=5 * MS)  # long enough to bring the admitted share near zero
@@ -65,15 +66,15 @@
             driver.end_attempt(sent, Outcome.OK)
     driver.now += SECOND
     run_traffic(driver, 10 * MS, 40, gap=50 * MS)
-    assert refused(driver, HIGH_WORTH, 20) < 20
+    assert refused_count(driver, HIGH_WORTH, 20) < 20
     run_traffic(driver, 10 * MS, 40, gap=50 * MS)
-    assert not refused(driver, LOW_WORTH, 10)
+    assert not refused_count(driver, LOW_WORTH, 10)
 
 
 def test_a_balancer_with_little_traffic_sheds_as_soon() -> None:
     """Had late answers been counted instead, one of hundreds of balancers would react after a minute."""
-    driver = overloaded(gap=150 * MS)
-    assert refused(driver, LOW_WORTH, 3) >= 2
+    driver = overloaded_driver(gap=150 * MS)
+    assert refused_count(driver, LOW_WORTH, 3) >= 2
 
 
 def test_rejections_by_a_full_server_cause_no_shedding_while_another_serves() -> None:
@@ -86,7 +87,7 @@
             for sent in driver.running(request):
                 driver.now += MS
                 driver.end_attempt(sent, outcome)
-    assert not refused(driver, LOW_WORTH, 200)
+    assert not refused_count(driver, LOW_WORTH, 200)
 
 
 def test_a_retry_whose_aim_has_passed_is_refused() -> None:
@@ -107,7 +108,7 @@
 
 
 def test_requests_beyond_a_tenant_allowance_are_shed_first() -> None:
-    """Such traffic has little worth, yet it took the capacity of tenants that kept to their allowances."""
+    """Such traffic has little worth, but used capacity that tenants within their allowances needed."""
     settings = Settings((LOW_WORTH,), allowances={"modest": 30.0, "greedy": 5.0}, over_allowance_worth=0.1)
     driver = Driver(settings, 12, classes=(LOW_WORTH,))
     requests: dict[str, list[int]] = {"modest": [], "greedy": []}
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -50,9 +50,12 @@
 
 
 def write_configs(folder: Path, host: ScriptedServer, service: int = 1) -> dict[str, str]:
-    """Write the good configurations to a folder, with this host behind each; return the values filled in."""
+    """Write the good configurations to a folder, with this host behind each.
+
+    Return the values that replace their placeholders.
+    """
     port = free_port()
-    names = {
+    placeholders = {
         "LISTEN": f"127.0.0.1:{port}",
         "PORT": str(port),
         "HOST": f"127.0.0.1:{host.port}",
@@ -60,14 +63,14 @@
         "FOLDER": str(folder),
     }
     (folder / "catalogue.toml").write_bytes(BASE.files["catalogue.toml"])
-    (folder / "hosts").write_text(f"# the fleet\n{names['HOST']}\n")
+    (folder / "hosts").write_text(f"# the fleet\n{placeholders['HOST']}\n")
     (folder / "app.pid").write_text(f"{os.getpid()}\n")
     for path in GOOD_FILES:
         text = path.read_text()
-        for name in sorted(names, key=len, reverse=True):
-            text = text.replace(name, names[name])
+        for name in sorted(placeholders, key=len, reverse=True):
+            text = text.replace(name, placeholders[name])
         (folder / path.name).write_text(text)
-    return names
+    return placeholders
 
 
 def running_sidecar(path: Path, *arguments: str) -> AbstractAsyncContextManager[asyncio.subprocess.Process]:
@@ -140,9 +143,9 @@
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
         assert [request.method for request in host.requests] == [b"GET", b"POST"]
-        names = [request.get(b"x-request-id") for request in host.requests]
-        assert None not in names
-        assert len(set(names)) == 2
+        request_ids = [request.get(b"x-request-id") for request in host.requests]
+        assert None not in request_ids
+        assert len(set(request_ids)) == 2
 
 
 @async_test
@@ -250,16 +253,16 @@
             (tmp_path / "hosts").write_text("no address\n")  # invalid: the current list stays
             await wait_for_log(process, "the list in hand stays")
             assert await fetch_status(client, "GET", "/page-read") == 200
-            beside = tmp_path / "hosts.new"
-            beside.write_text(f"127.0.0.1:{second.port}\n")
-            beside.rename(tmp_path / "hosts")
+            new_file = tmp_path / "hosts.new"
+            new_file.write_text(f"127.0.0.1:{second.port}\n")
+            new_file.rename(tmp_path / "hosts")
             async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while not second.requests:
                     assert await fetch_status(client, "GET", "/page-read") == 200
-            seen = len(first.requests)
+            count_before = len(first.requests)
             for _ in range(20):
                 assert await fetch_status(client, "GET", "/page-read") == 200
-            assert len(first.requests) == seen
+            assert len(first.requests) == count_before
 
 
 @async_test
@@ -282,10 +285,10 @@
             process.send_signal(signal.SIGHUP)
             # The hosts are applied in the same reload.
             await wait_for_log(process, "limits.clients: 400 -> 10 (needs a restart)")
-            seen = len(first.requests)
+            count_before = len(first.requests)
             for _ in range(20):
                 assert await fetch_status(client, "GET", "/page-read") == 200
-            assert (len(first.requests), len(second.requests)) == (seen, 20)
+            assert (len(first.requests), len(second.requests)) == (count_before, 20)
 
 
 @async_test
@@ -313,12 +316,12 @@
             assert await fetch_status(client, "POST", "/gift") == 200
 
 
-def application(folder: Path) -> subprocess.Popen[bytes]:
+def start_application(folder: Path) -> subprocess.Popen[bytes]:
     """Start a process in place of the application, and write its pid file."""
     process = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(1000)"])
-    beside = folder / "pid.new"
-    beside.write_text(f"{process.pid}\n")
-    beside.rename(folder / "app.pid")
+    new_file = folder / "pid.new"
+    new_file.write_text(f"{process.pid}\n")
+    new_file.rename(folder / "app.pid")
     return process
 
 
@@ -335,7 +338,7 @@
             with pytest.raises(OSError, match="onnect"):
                 await asyncio.open_connection(address.host, address.port)
             for _ in range(2):  # the application starts, is killed, and starts again
-                app = application(tmp_path)
+                app = start_application(tmp_path)
                 client = await connect(path)
                 assert await fetch_status(client, "GET", "/page-read") == 200
                 app.kill()
@@ -351,7 +354,7 @@
     async with scripted_servers(answers_with()) as (host,):
         write_configs(tmp_path, host)
         path = tmp_path / "ends.toml"
-        app = application(tmp_path)
+        app = start_application(tmp_path)
         async with running_sidecar(path) as process:
             await wait_for_log(process, "listens on")
             assert await fetch_status(await connect(path), "GET", "/page-read") == 200
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -2,7 +2,7 @@
 
 The failure: SIGTERM, then SIGHUP or SIGTERM every 2 ms until the exit, killed 12 of 12 processes (exit -1 and
 -15), as the loop restores the default action when it closes and the interpreter takes time to exit after
-that. SIGHUP every 5 ms from the start killed 12 of 12, as the imports came before anything blocked it.
+that. SIGHUP every 5 ms from the start killed 12 of 12, as the signal was not blocked before the imports.
 """
 
 from __future__ import annotations
@@ -140,17 +140,17 @@
 
 @async_test
 async def test_repeated_requests_are_coalesced_and_the_last_one_runs() -> None:
-    loop, made = asyncio.get_running_loop(), []
-    call = CoalescedCall(loop, lambda: made.append(request_index), interval=0.05)
+    loop, runs = asyncio.get_running_loop(), []
+    call = CoalescedCall(loop, lambda: runs.append(request_index), interval=0.05)
     for request_index in range(100):  # noqa: B007 - read by the call
         call.request()
-    assert made == [0], "the first request runs at once"
-    await wait_until(lambda: len(made) == 2)
-    assert made[-1] == 99, "one run for all the others"
+    assert runs == [0], "the first request runs at once"
+    await wait_until(lambda: len(runs) == 2)
+    assert runs[-1] == 99, "one run for all the others"
     call.request()
     call.stop()
     await asyncio.sleep(0.1)
-    assert len(made) == 2
+    assert len(runs) == 2
 
 
 @async_test
--- a/tests/test_slowstart.py
+++ b/tests/test_slowstart.py
@@ -38,7 +38,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_burst_does_not_leave_cold_servers_idle(seed: int) -> None:
-    """Cold servers got a share of the warm ones' work, which shrank under overload: half was refused."""
+    """Cold servers got a share of the warm ones' work.
+
+    As that fell under overload, half of all requests were refused.
+    """
     fleet = burst_at_cold_servers(seed)
     fleet.run(16 * SECOND)
     assert not fleet.violations
@@ -47,7 +50,7 @@
     assert fleet.goodput(10 * SECOND, 14 * SECOND) > 0.9
 
 
-class ColdServerScene:
+class ColdServerModel:
     """Balancers and one cold server, which serves requests one after another."""
 
     def __init__(self, balancers: int, seed: int, base_rate_share: float) -> None:
@@ -69,7 +72,7 @@
         self._queue: list[tuple[int, SlowStart]] = []
         self._free_at = 0.0
 
-    def play(self, start: int, end: int, rate: float) -> None:
+    def run(self, start: int, end: int, rate: float) -> None:
         """Send `rate` requests per second, each through a random balancer, all to this server."""
         now = float(start)
         while (now := now + self.random.expovariate(rate / SECOND)) < end:
@@ -99,37 +102,37 @@
 def test_all_balancers_together_stay_below_the_overload_of_a_cold_server(balancers: int, base: float) -> None:
     """Even if a burst of forty times the capacity follows a time in which tokens could be saved."""
     for seed in range(20):
-        scene = ColdServerScene(balancers, seed, base)
-        scene.play(SECOND, 10 * SECOND, 2.0)
-        scene.play(10 * SECOND, 20 * SECOND, 480.0)
-        assert not scene.load.is_overloaded, seed
+        model = ColdServerModel(balancers, seed, base)
+        model.run(SECOND, 10 * SECOND, 2.0)
+        model.run(10 * SECOND, 20 * SECOND, 480.0)
+        assert not model.load.is_overloaded, seed
 
 
 def test_saved_tokens_do_not_grow_with_the_number_of_balancers() -> None:
     """If each of 200 balancers saved up for a whole request, all could send theirs at the same moment."""
     granted = []
     for seed in range(50):
-        scene = ColdServerScene(200, seed, 1.0)
-        lifetime = TOKEN_LIFETIME_FRACTION * scene.warmup.overload_window
+        model = ColdServerModel(200, seed, 1.0)
+        lifetime = TOKEN_LIFETIME_FRACTION * model.warmup.overload_window
         at_once = [
-            each.admits(1.0, scene.rate, lifetime, 600 * SECOND, scene.random) for each in scene.balancers
+            each.admits(1.0, model.rate, lifetime, 600 * SECOND, model.random) for each in model.balancers
         ]
         granted.append(sum(at_once))
-    saved = scene.cold_capacity * TOKEN_LIFETIME_FRACTION * scene.warmup.overload_window
+    saved = model.cold_capacity * TOKEN_LIFETIME_FRACTION * model.warmup.overload_window
     assert sum(granted) / len(granted) == pytest.approx(saved, rel=0.2)
 
 
 def test_tokens_from_answers_raise_a_cold_server_to_its_capacity() -> None:
     """The base rate alone is a fiftieth of the capacity."""
-    scene = ColdServerScene(30, 1, 0.02)
-    scene.play(0, 20 * SECOND, 480.0)
-    before = scene.served
-    scene.play(20 * SECOND, 30 * SECOND, 480.0)
-    assert scene.served - before > 0.95 * scene.cold_capacity * 10 * SECOND
+    model = ColdServerModel(30, 1, 0.02)
+    model.run(0, 20 * SECOND, 480.0)
+    before = model.served
+    model.run(20 * SECOND, 30 * SECOND, 480.0)
+    assert model.served - before > 0.95 * model.cold_capacity * 10 * SECOND
 
 
 def test_the_base_rate_and_answers_do_not_add_up() -> None:
-    """Tokens from answers replace those of the base rate, whichever are more."""
+    """Tokens from answers take the place of those of the base rate, whether they are more or fewer."""
     multiple, lifetime, random = 4.0, float(SECOND), Random(1)
     slow_start = SlowStart(0)
     for now in range(0, 5 * SECOND, 10 * MS):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -52,20 +52,20 @@
     running.frontend.presence.stop(asyncio.get_running_loop().time() - seconds_ago)
 
 
-@pytest.mark.parametrize("other", [{}, {"control": "127.0.0.1:0"}], ids=["without calls", "with calls"])
+@pytest.mark.parametrize("extra", [{}, {"control": "127.0.0.1:0"}], ids=["without calls", "with calls"])
 @async_test
-async def test_an_early_sighup_is_handled_later(tmp_path: Path, other: dict[str, str]) -> None:
+async def test_an_early_sighup_is_handled_later(tmp_path: Path, extra: dict[str, str]) -> None:
     """The signal arrives while the old configuration is being read."""
     async with scripted_servers(_watch, _watch) as (old, new):
         path = tmp_path / "config.json"
-        before = write_config(tmp_path, platform_config(old.port, **other)).read_bytes()
+        before = write_config(tmp_path, platform_config(old.port, **extra)).read_bytes()
         path.unlink()
         os.mkfifo(path)
         starting = asyncio.get_running_loop().run_in_executor(None, path.open, "wb")
         async with _program_with_existing_config(tmp_path) as process:
             pipe = await starting  # the program has opened the file and is reading
             path.unlink()
-            write_config(tmp_path, platform_config(new.port, **other))
+            write_config(tmp_path, platform_config(new.port, **extra))
             process.send_signal(signal.SIGHUP)
             with pipe:
                 pipe.write(before)
@@ -172,7 +172,9 @@
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as running:
         client, text = await running.client(), request_text("chapter-buy")
         client.writer.write(text[:30])
-        await wait_until(lambda: any(one._request_reader.has_begun for one in running.frontend.connections))
+        await wait_until(
+            lambda: any(connection._request_reader.has_begun for connection in running.frontend.connections)
+        )
         _stop(running, seconds_ago)
         running.frontend.close()
         client.writer.write(text[30:])
@@ -182,31 +184,31 @@
 
 
 @async_test
-async def test_a_request_waiting_for_a_draining_host_goes_to_no_other_draining_host() -> None:
+async def test_a_request_waiting_for_a_draining_host_goes_to_no_host_that_drains_in_the_same_list() -> None:
     """The list is applied host by host, and requests waiting for the first host are sent again at once."""
     async with (
-        scripted_servers(answers_with(), answers_with()) as (one, other),
-        running_gateway(other.member()) as running,
+        scripted_servers(answers_with(), answers_with()) as (first, second),
+        running_gateway(second.member()) as running,
     ):
         answers: list[Answer] = []
 
-        def ask() -> None:
+        def submit() -> None:
             message = RequestReader().feed(request_text())[0]
             running.gateway.submit_request(ClientRequest(message, "page-read", 10 * SECOND), answers.append)
 
-        ask()
-        ask()
+        submit()
+        submit()
         await wait_until(lambda: len(answers) == 2)
-        waiting = running.upstream._hosts[other.member().server.id]
+        waiting = running.upstream._hosts[second.member().server.id]
         await wait_until(lambda: len(waiting.idle) == 2)  # idle connections: a request would be sent at once
-        running.gateway.update_hosts(make_host_list(one.member(), other.member()))
+        running.gateway.update_hosts(make_host_list(first.member(), second.member()))
         request_count = 2
-        while not running.upstream._hosts[one.member().server.id].connecting:
-            ask()
+        while not running.upstream._hosts[first.member().server.id].connecting:
+            submit()
             request_count += 1
-        drains = [peer.member(state=State.DRAINING) for peer in (one, other)]
+        drains = [peer.member(state=State.DRAINING) for peer in (first, second)]
         running.gateway.update_hosts(make_host_list(*drains, revision=3))
         await wait_until(lambda: len(answers) == request_count)
         assert [answer.status for answer in answers].count(503) == 1
-        assert len(other.requests) == request_count - 1
-        assert not one.requests
+        assert len(second.requests) == request_count - 1
+        assert not first.requests
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from tests.peers import async_test, wait_until
-from whinrouter.net.timer_wheel import TICK, Timer, TimerWheel
+from whinrouter.net.timer_wheel import TICK_SECONDS, Timer, TimerWheel
 
 
 class SimulatedLoop:
@@ -81,9 +81,9 @@
     loop.advance(4)
     assert set(fired) == set(range(len(timers))) - cancelled
     for number, at in fired.items():
-        assert due[number] <= at + 1e-9 <= due[number] + TICK + 1e-6
+        assert due[number] <= at + 1e-9 <= due[number] + TICK_SECONDS + 1e-6
     assert not wheel._ticks
-    assert not wheel._order
+    assert not wheel._tick_heap
 
 
 @async_test
@@ -127,17 +127,17 @@
 
 
 def test_callback_may_set_the_next_timer() -> None:
-    """Once compiled, the wheel raised after such a callback."""
+    """The compiled wheel once raised an error after such a callback."""
     loop = SimulatedLoop()
     wheel = TimerWheel(loop)  # type: ignore[arg-type]
     fired: list[float] = []
 
-    def again() -> None:
+    def set_next_timer() -> None:
         fired.append(loop.now)
         if len(fired) < 3:
-            wheel.call_later(5 * TICK, again)
+            wheel.call_later(5 * TICK_SECONDS, set_next_timer)
 
-    wheel.call_later(TICK, again)
+    wheel.call_later(TICK_SECONDS, set_next_timer)
     loop.advance(1.0)
     assert len(fired) == 3
     assert not wheel.is_armed
--- a/tests/test_unread_input.py
+++ b/tests/test_unread_input.py
@@ -76,11 +76,11 @@
         for client in clients:
             assert (await client.fetch()).status == 200
 
-        def ask() -> None:
+        def send_requests() -> None:
             for client in clients:
                 client.writer.write(request_text())
 
-        _before_admit(proxy, ask)
+        _before_admit(proxy, send_requests)
         with contextlib.suppress(ConnectionError):
             assert await (await proxy.client()).read_to_end() == b""
         assert [(await client.read_answer()).status for client in clients] == [200, 200]
@@ -110,7 +110,7 @@
 
 
 @async_test
-async def test_a_new_connection_costs_few_checks_of_a_crowd_with_unread_input(
+async def test_a_new_connection_checks_only_a_few_connections_with_unread_input(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with (
@@ -121,28 +121,28 @@
         await wait_until(lambda: len(proxy.frontend.connections) == len(clients))
         checked: list[asyncio.BaseTransport] = []
 
-        def check(transport: asyncio.BaseTransport) -> bool:
+        def record_check(transport: asyncio.BaseTransport) -> bool:
             checked.append(transport)
             return True
 
         skip_if_compiled(frontend)
-        monkeypatch.setattr(frontend, "has_unread", check)
+        monkeypatch.setattr(frontend, "has_unread", record_check)
         clients.append(await proxy.client())
         await wait_until(lambda: len(proxy.frontend.connections) == len(clients))
         assert len(checked) == frontend.MAX_EVICTION_CHECKS
 
 
-@pytest.mark.parametrize("begun", [0, 30], ids=["idle", "begun"])
+@pytest.mark.parametrize("begun_bytes", [0, 30], ids=["idle", "begun"])
 @async_test
-async def test_the_sweep_closes_no_connection_with_unread_input(begun: int) -> None:
+async def test_the_sweep_closes_no_connection_with_unread_input(begun_bytes: int) -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
         client, text = await proxy.client(), request_text()
         await wait_until(lambda: proxy.frontend.connections)
         (connection,) = proxy.frontend.connections
-        client.writer.write(text[:begun])
-        await wait_until(lambda: connection._request_reader.has_begun == bool(begun))
+        client.writer.write(text[:begun_bytes])
+        await wait_until(lambda: connection._request_reader.has_begun == bool(begun_bytes))
         connection.wait_deadline = asyncio.get_running_loop().time()
-        client.writer.write(text[begun:])
+        client.writer.write(text[begun_bytes:])
         proxy.frontend._sweep()
         assert (await client.read_answer()).status == 200
 
@@ -175,28 +175,28 @@
 @async_test
 async def test_an_unread_request_is_answered_when_the_process_stops() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        client, other = await proxy.client(), await proxy.client()
+        client, idle_client = await proxy.client(), await proxy.client()
         assert (await client.fetch()).status == 200
         proxy.frontend.presence.stop(asyncio.get_running_loop().time())
         client.writer.write(request_text())
         proxy.frontend.close()
         answer = await client.read_answer()
         assert (answer.status, answer.keep_alive) == (200, False)
-        assert await other.read_to_end() == b""
+        assert await idle_client.read_to_end() == b""
 
 
 @async_test
 async def test_the_backlog_is_accepted_when_the_process_stops() -> None:
     async with scripted_servers(answers_with()) as (host,), running_gateway(host.member()) as proxy:
-        waiting = []
+        waiting_sockets = []
         for _ in range(40):  # more than the loop accepts in one turn; it does not run meanwhile
-            waiting.append(socket.create_connection(("127.0.0.1", proxy.port)))
-            waiting[-1].sendall(request_text())
+            waiting_sockets.append(socket.create_connection(("127.0.0.1", proxy.port)))
+            waiting_sockets[-1].sendall(request_text())
         proxy.frontend.presence.stop(asyncio.get_running_loop().time())
         await proxy.frontend.listener.accept_pending()
         proxy.frontend.close()
-        for endpoint in waiting:
-            client = Client(*await asyncio.open_connection(sock=endpoint))
+        for waiting_socket in waiting_sockets:
+            client = Client(*await asyncio.open_connection(sock=waiting_socket))
             # Some are refused, as the only host has a concurrency limit.
             assert (await client.read_answer()).status in (200, 503)
 
@@ -209,7 +209,7 @@
         assert (await client.fetch()).status == 200
         (connection,) = proxy.frontend.connections
         connection.abort_connection(CloseReason.MAKES_ROOM)
-        endpoint = client.writer.get_extra_info("socket")
-        with socket.socket(fileno=socket.dup(endpoint.fileno())) as seen:
-            seen.setblocking(False)
-            assert seen.recv(1) == b""  # before any turn of the loop
+        client_socket = client.writer.get_extra_info("socket")
+        with socket.socket(fileno=socket.dup(client_socket.fileno())) as duplicate:
+            duplicate.setblocking(False)
+            assert duplicate.recv(1) == b""  # before any turn of the loop
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("size", [40_000, 32 * 1024 * 1024])
 @async_test
 async def test_break_before_the_last_request_byte_is_connect_failed(size: int) -> None:
-    """The host has received a part of the request; the rest is still in the send buffer, little or much."""
+    """The host has received a part of the request; the rest, small or large, is still in the send buffer."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
@@ -313,7 +313,7 @@
 )
 @async_test
 async def test_valid_answer_counts_whatever_follows_it(surplus: bytes) -> None:
-    """Its connection is not reused: the bytes behind the answer would be taken for the next one."""
+    """The connection is not reused: the bytes behind the answer would be taken for the next one."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(PAGE_4 + (surplus if len(host.requests) == 1 else b""))
@@ -379,12 +379,12 @@
     loop = asyncio.get_running_loop()
     connect = loop.sock_connect
 
-    async def late(endpoint: socket.socket, address: Any) -> None:
+    async def connect_late(endpoint: socket.socket, address: Any) -> None:
         """Return only after the reset has arrived, as if the loop ran late."""
         await connect(endpoint, address)
         await wait_until(lambda: is_readable(endpoint))
 
-    monkeypatch.setattr(loop, "sock_connect", late)
+    monkeypatch.setattr(loop, "sock_connect", connect_late)
     assert await sender.outcome() is Outcome.CONNECT_FAILED
     assert sender.upstream.descriptors_in_use == 0
     server.close()
--- a/whinrouter/__init__.py
+++ b/whinrouter/__init__.py
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import an exported class at its first use, as the configuration tool starts without the decisions."""
+    """Import an exported class at its first use: the configuration tool does not load the decision module."""
     if name == "Balancer":
         from whinrouter.balance import Balancer  # noqa: PLC0415
 
--- a/whinrouter/balance.py
+++ b/whinrouter/balance.py
@@ -4,9 +4,10 @@
 I/O and shares no state: the same settings, seed and events give the same actions.
 
 A request is sent to the less loaded of two random servers that admit it. If that attempt fails, or is late
-and hedges are allowed, the other one is its fallback; further attempts come from a retry budget. A server
-admits by its concurrency limit, its circuit breakers, and slow start while it is cold. Under overload,
-requests are shed (`shedding.py`). A request that no server admits is refused, or failed if it may have run.
+and hedges are allowed, the other server is its fallback. Hedges and all attempts after the fallback need a
+retry budget. A server admits by its concurrency limit, its circuit breakers, and slow start while it is cold.
+Under overload, requests are shed (`shedding.py`). A request that no server admits is refused, or failed if it
+may have run. A request is pending until its final answer is given and all of its attempts have ended.
 
 In the code, `host` is the state that is kept of a server (`ServerState`), and `server` a `Server` or its id.
 """
@@ -31,16 +32,16 @@
 from whinrouter.shedding import LoadShedder
 from whinrouter.slowstart import BASE_RATE_FRACTION, TOKEN_LIFETIME_FRACTION, SlowStart
 
-# Share of open breakers from which closed ones count no failures: the trouble is then shared by all servers,
-# and breakers would refuse work that the fleet can do.
+# Share of open breakers from which closed ones count no failures: the cause then affects the whole fleet, and
+# breakers would refuse work that the fleet can do.
 MAX_OPEN_SHARE = 0.5
 MAX_CLASS_OPEN_SHARE = 0.75  # the same for the breakers of one class; other classes are still served
 
-BALANCERS_PER_SERVER = 20  # balancers that share a server, where there are more
+BALANCERS_PER_SERVER = 20  # balancers that share each server, if there are more than this
 MIN_SUBSET_SERVERS = 4  # least size of a balancer's subset
 
 TARGET_AIM_SHARE = 0.5  # share of the aim within which a server with spare capacity answers
-SCATTER_MULTIPLE = 2.0  # medians within which answers scatter without any load
+SCATTER_MULTIPLE = 2.0  # multiple of the median latency up to which latencies scatter without any load
 
 LATE_SHARE = 0.005  # share of a class's attempts that should exceed its late multiple
 # The late multiple of a class: multiples of the expected latency after which an attempt is late. It adapts,
@@ -49,18 +50,18 @@
 INITIAL_LATE_MULTIPLE, MIN_LATE_MULTIPLE = 4.0, 2.0
 LATE_MULTIPLE_STEP = 0.2  # relative change of the late multiple by one late attempt
 RETRY_BUDGET_SHARE = 0.1  # attempts beyond the fallback, and hedges, that each request adds to the budget
-RETRY_BUDGET_BURST = 20.0  # most that all balancers together may save up
+RETRY_BUDGET_BURST = 20.0  # maximum of the budgets of all balancers together, in attempts
 LATENCY_STEP = 1.04  # factor by which each answer moves a median latency
 KIND_RATIO_STEP = 1.02  # the same for the latency ratio of a kind, which all its servers share
 ANSWER_GAP_STEP = 0.05  # weight of a new gap in the mean time between two answers
 
-WORK_WINDOW = 2 * SECOND  # over which the work done is averaged
+WORK_WINDOW = 2 * SECOND  # window over which the work done is averaged
 # Microseconds between two sums of warm capacity. A sum at each choice exceeded the CPU budget with 100 cold
 # servers.
 WARM_SUM_INTERVAL = 100_000
 
 # Outcomes that count as failures of a server. TIMEOUT is not one: it is the client's own limit, and late
-# attempts are counted before, by comparison with the other servers.
+# attempts are counted before that, by comparison with the latency of all servers.
 SERVER_FAILURES = {Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.UNKNOWN}
 # Outcomes that are not caused by load. A network that broke one connection in ten brought all limits to their
 # minimum, and half of the requests were refused.
@@ -111,7 +112,7 @@
         return self._settings
 
     def handle(self, event: Event, now: int) -> list[Action]:
-        """Take one event and return the actions that follow from it."""
+        """Handle one event at the moment `now` and return the actions to carry out, in their order."""
         if isinstance(event, Request):
             return self._on_request(event, now)
         if isinstance(event, AttemptEnded):
@@ -127,12 +128,12 @@
         if isinstance(event, RequestAdopted):
             return self._on_adopted(event, now)
         pending = self._pending.get(event.request) if isinstance(event, RequestGone) else None
-        return self._finish(pending) if pending else []
+        return self._finish_request(pending) if pending else []
 
     def update_settings(self, settings: Settings) -> None:
         """Replace the settings. A pending request keeps its class and the lower of both attempt limits.
 
-        What was learned about servers stays. What was learned about a class goes if the class does.
+        State learned about servers stays. State learned about a class is dropped if the class is removed.
         """
         self._settings = settings
         self._classes = {request_class.name: request_class for request_class in settings.classes}
@@ -156,7 +157,7 @@
         self._update_subset([])
 
     def export_state(self, now: int) -> LearnedState:
-        """Return what a successor of this balancer needs, with all moments as spans from now."""
+        """Return the state that a successor of this balancer needs, with all moments as spans from now."""
         servers = tuple(host.export_state(now) for host in self._hosts.values())
         unit_latencies, median_latencies, late_multiples = (
             dict(self._unit_latencies),
@@ -182,7 +183,10 @@
         )
 
     def restore_state(self, learned: LearnedState, share: float, now: int) -> None:
-        """Take over what another balancer learned about the same servers, for a share of its requests."""
+        """Take over the state that another balancer learned, for a share of its requests.
+
+        The state of a server that is not listed here, or has restarted since, is ignored.
+        """
         for server in learned.servers:
             host = self._hosts.get(server.server_id)
             if host is not None and host.info.started_at == moment_of(server.age, now):
@@ -201,15 +205,16 @@
         self._assign_limits([])
 
     def scale_limits(self, factor: float) -> None:
-        """Multiply each server's limit, as this balancer gets that multiple of its former requests."""
+        """Multiply each server's limit: this balancer now gets `factor` times as many requests as before."""
         for host in self._hosts.values():
             host.limit = max(host.min_limit, host.limit * factor)
         self._assign_limits([])
 
     def _on_server_list(self, event: ServerList, now: int) -> list[Action]:
-        """Update the servers. What is known about one stays unless it has restarted."""
+        """Update the servers. The state kept of a server stays unless the server has restarted."""
         subscribes = self._settings.must_subscribe
-        if event.update is Update.ERROR:  # the current list stays in force; retry at a random time
+        # After an error the current list stays in force. Retries are jittered, as other balancers retry too.
+        if event.update is Update.ERROR:
             return (
                 [SetTimer(round(SECOND * self._random.uniform(0.5, 1.5)), "subscribe")] if subscribes else []
             )
@@ -289,7 +294,7 @@
     def _slow_start_admits(self, host: ServerState, pending: PendingRequest, now: int) -> bool:
         """Whether a cold server may be sent a request. Its base rate is a share of the recent work done.
 
-        The base rate must not follow the work asked for, as retries inflate that. A balancer's work goes to
+        The base rate must not follow the offered work, as retries inflate that. A balancer's work goes to
         the servers of its subset, so it is divided among these alone.
         """
         if now >= self._warm_summed_at + WARM_SUM_INTERVAL:
@@ -367,10 +372,10 @@
 
     def _cost(self, pending: PendingRequest) -> float:
         """Return the estimated work of a request."""
-        return pending.request.cost or self._expected_latency(pending)  # by default, latency stands for work
+        return pending.request.cost or self._expected_latency(pending)  # no estimate: use the latency
 
     def _expected_latency(self, pending: PendingRequest) -> float:
-        """Return the usual latency of such a request, from any server."""
+        """Return the usual latency of such a request, whichever server answers it."""
         cost, unit_latency = pending.request.cost or 1, self._unit_latencies.get(pending.request_class.name)
         return pending.request_class.aim / 4 if unit_latency is None else unit_latency * cost
 
@@ -383,7 +388,7 @@
         return self._refuse_or_fail(pending)
 
     def _start_attempt(self, pending: PendingRequest, now: int) -> list[Action]:
-        """Send the request if the rules, the retry budget and a server allow it; else do nothing."""
+        """Send the request if the rules, the retry budget and a server allow it; else return no action."""
         is_expired = now >= pending.deadline and not pending.body_incomplete
         if is_expired or len(pending.attempts) >= min(pending.max_attempts, self._settings.max_attempts):
             return []
@@ -396,14 +401,14 @@
         if host is None:
             return []
         self._retry_budget -= uses_budget
-        return self._send(pending, host, now)
+        return self._send_attempt(pending, host, now)
 
     def _refuse_or_fail(self, pending: PendingRequest) -> list[Action]:
         """Give the final answer to a request that is not served."""
         answer = Refuse if self._may_refuse(pending) else Fail
-        return [answer(pending.request.id), *self._finish(pending)]
+        return [answer(pending.request.id), *self._finish_request(pending)]
 
-    def _send(self, pending: PendingRequest, host: ServerState, now: int) -> list[Action]:
+    def _send_attempt(self, pending: PendingRequest, host: ServerState, now: int) -> list[Action]:
         """Send the request to a server, with a timer for the moment at which the attempt is late."""
         request, number, expected = pending.request.id, len(pending.attempts), self._expected_latency(pending)
         late_multiple = self._late_multiples.get(pending.request_class.name, INITIAL_LATE_MULTIPLE)
@@ -413,7 +418,7 @@
         )
         pending.attempts.append(attempt)
         if not attempt.awaits_body:
-            self._occupy(host)
+            self._occupy_slot(host)
         host.slow_start.record_send(self._cost(pending))
         late_delay = max(1, ceil(late_multiple * expected))  # rounded down, the attempt would not be late yet
         send = Send(request, host.info.id, 0, self._dedup_window_end(pending))
@@ -435,12 +440,12 @@
             return None
         tried = {attempt.server.id for attempt in pending.attempts}
         fallback = self._hosts.get(pending.fallback) if pending.fallback is not None else None
-        if fallback and fallback.info.id not in tried and self._admits(fallback, pending, now):
+        if fallback and fallback.info.id not in tried and self._server_admits(fallback, pending, now):
             return fallback
         memory = max(LATENCY_MEMORY, LATENCY_MEMORY_ANSWERS * self._answer_gap * len(self._subset))
         first = None
         for host in self._candidates(pending.request.key):
-            if host is first or host.info.id in tried or not self._admits(host, pending, now):
+            if host is first or host.info.id in tried or not self._server_admits(host, pending, now):
                 continue
             if first is not None:
                 first, second = (
@@ -455,13 +460,18 @@
         return first
 
     def _candidates(self, key: str | None) -> Iterator[ServerState]:
-        """Yield the servers in random order; where keys warm servers, first in the hash order of the key."""
+        """Yield the servers to try, in the order of preference; some are yielded more than once.
+
+        For a key, where keys warm servers: the subset in the hash order of the key. Then, if crossing zones
+        has a price, this zone's servers with spare capacity, if there are at least two; then the subset in
+        random order; then the reserve.
+        """
         if key is not None and self._settings.warm_keys:
             yield from sorted(self._subset, key=lambda host: _hash_rank(key, host.info.id))
         if self._settings.cross_zone_price > 0:  # prefer this zone while its servers have spare capacity
             local_hosts = self._with_spare_capacity(self._subset_in_zone)
-            yield from self._draw(local_hosts) if len(local_hosts) > 1 else ()
-        yield from self._draw(self._subset)
+            yield from self._random_order(local_hosts) if len(local_hosts) > 1 else ()
+        yield from self._random_order(self._subset)
         yield from self._reserve
 
     def _with_spare_capacity(self, hosts: list[ServerState]) -> list[ServerState]:
@@ -475,7 +485,7 @@
         in_flight, limit = sum(host.in_flight for host in hosts), sum(host.limit for host in hosts)
         return hosts.copy() if 2 * in_flight < limit else []
 
-    def _draw(self, hosts: list[ServerState]) -> Iterator[ServerState]:
+    def _random_order(self, hosts: list[ServerState]) -> Iterator[ServerState]:
         """Yield hosts in random order, computed lazily.
 
         With many balancers, the requests in flight from one of them tell little about a host's load. Its
@@ -495,13 +505,14 @@
         yield from skipped
 
     def _shuffled(self, hosts: list[ServerState]) -> Iterator[ServerState]:
+        """Yield the hosts in random order, and shuffle the list itself as far as it is read."""
         random, count = self._random.random, len(hosts)
         for index in range(count):
             other = index + int(random() * (count - index))
             hosts[index], hosts[other] = hosts[other], hosts[index]
             yield hosts[index]
 
-    def _admits(self, host: ServerState, pending: PendingRequest, now: int) -> bool:
+    def _server_admits(self, host: ServerState, pending: PendingRequest, now: int) -> bool:
         """Whether a server may be sent this request now."""
         if not host.admits(pending.request_class, now):
             return False
@@ -509,7 +520,7 @@
             return False
         if not host.info.started_at or self._min_capacity_share(host, now) == 1:
             return True
-        # Only the balancers whose subset holds a cold host send to it; others would exceed what it bears.
+        # Only balancers whose subset contains a cold host send to it; requests of others would overload it.
         if host not in self._subset_members:
             return False
         return self._slow_start_admits(host, pending, now)
@@ -550,26 +561,26 @@
 
     def _on_attempt_ended(self, event: AttemptEnded, now: int) -> list[Action]:
         """Learn from the outcome; start another attempt if the request has no answer yet."""
-        pending, attempt = self._find(event.request, event.attempt)
+        pending, attempt = self._find_attempt(event.request, event.attempt)
         if pending is None or attempt is None:
             return []
         attempt.outcome, pending.body_consumed = event.outcome, pending.body_consumed or event.body_consumed
         host = self._host_of(attempt)
         if host is not None and not attempt.is_streaming:
-            self._release(host, attempt)
+            self._release_slot(host, attempt)
             self._record_outcome(host, pending, attempt, now, now - event.local_delay)
         if not event.client_answered and not pending.is_answered:
             return self._attempt_or_answer(pending, now)
-        return self._finish(pending)
+        return self._finish_request(pending)
 
     def _on_stream_started(self, event: StreamStarted, now: int) -> list[Action]:
         """Release the server's slot: how long the stream lasts says nothing about the server."""
-        pending, attempt = self._find(event.request, event.attempt)
+        pending, attempt = self._find_attempt(event.request, event.attempt)
         if pending is None or attempt is None:
             return []
         host = self._host_of(attempt)
         if host is not None:
-            self._release(host, attempt)
+            self._release_slot(host, attempt)
             is_late = event.latency > TARGET_AIM_SHARE * pending.request_class.aim
             self._record_latency(host, pending, attempt, event.latency, now)
             self._shedder.record_result(not is_late, now)
@@ -579,10 +590,13 @@
                     host, pending, attempt, Outcome.OK, now, pending.arrived_at + event.latency
                 )
         attempt.is_counted = attempt.is_streaming = True
-        return self._finish(pending)
+        return self._finish_request(pending)
 
     def _on_body_received(self, event: BodyReceived, now: int) -> list[Action]:
-        """Count the request as load from now on: an upload in progress is no work for the server."""
+        """Count the request as load from now on.
+
+        A server starts its work at the last byte of a request; an upload of some seconds is no load before.
+        """
         pending = self._pending.get(event.request)
         if pending is None or not pending.body_incomplete:
             return []
@@ -591,27 +605,29 @@
             host = self._host_of(attempt) if attempt.outcome is None and attempt.awaits_body else None
             if host is not None and not attempt.is_streaming:
                 attempt.awaits_body = False
-                self._occupy(host)
+                self._occupy_slot(host)
         return []
 
-    def _occupy(self, host: ServerState) -> None:
+    def _occupy_slot(self, host: ServerState) -> None:
         """Count a request in flight."""
         host.in_flight += 1
         self._total_in_flight += 1
 
-    def _release(self, host: ServerState, attempt: Attempt) -> None:
+    def _release_slot(self, host: ServerState, attempt: Attempt) -> None:
         """Count a request no longer in flight, unless it awaited its body and so was never counted."""
         if attempt.awaits_body:
             return
         self._total_in_flight -= min(1, host.in_flight)
         host.in_flight = max(0, host.in_flight - 1)
 
-    def _find(self, request_id: RequestId, number: int) -> tuple[PendingRequest | None, Attempt | None]:
+    def _find_attempt(
+        self, request_id: RequestId, number: int
+    ) -> tuple[PendingRequest | None, Attempt | None]:
         pending = self._pending.get(request_id)
         found = pending.attempts[number : number + 1] if pending else []
         return pending, found[0] if found else None
 
-    def _host_of(self, attempt: Attempt) -> ServerState | None:  # None if it left or has restarted since
+    def _host_of(self, attempt: Attempt) -> ServerState | None:  # None if it was removed or has restarted
         host = self._hosts.get(attempt.server.id)
         return host if host is not None and host.info.started_at == attempt.server.started_at else None
 
@@ -706,8 +722,9 @@
     def _target_latency(self, pending: PendingRequest) -> float:
         """Return the time within which a server with spare capacity answers the request.
 
-        A class with a long aim must not crowd the servers of one with a short aim. So all classes are held to
-        the least ratio of aim to median latency, but never below the scatter of their own latencies.
+        A class with a long aim must not overload the servers of one with a short aim. So the targets of all
+        classes follow the least ratio of aim to median latency. Yet a class is allowed the normal scatter of
+        its own latencies, `SCATTER_MULTIPLE` medians, within its share of the aim.
         """
         class_name, medians = pending.request_class.name, self._median_latencies
         own_target = TARGET_AIM_SHARE * pending.request_class.aim
@@ -739,6 +756,7 @@
     def _record_class_failure(
         self, host: ServerState, pending: PendingRequest, attempt: Attempt, now: int
     ) -> None:
+        """Count a failure of a class, unless too many of its breakers are open (MAX_CLASS_OPEN_SHARE)."""
         open_count = sum(
             not other.class_breaker(pending.request_class).is_closed for other in self._hosts.values()
         )
@@ -749,7 +767,7 @@
 
     def _on_late_timer(self, token: str, now: int) -> list[Action]:
         """Count a late attempt as a failure without waiting for its end, and start the fallback beside it."""
-        pending, attempt = self._find(*map(int, token.split(":")))
+        pending, attempt = self._find_attempt(*map(int, token.split(":")))
         if pending is None or attempt is None or attempt.outcome is not None or attempt.is_counted:
             return []
         host = self._host_of(attempt)
@@ -768,11 +786,13 @@
                 return self._start_attempt(pending, now)
         return []
 
-    def _finish(self, pending: PendingRequest) -> list[Action]:
+    def _finish_request(self, pending: PendingRequest) -> list[Action]:
         """Cancel the running attempts after the final answer; forget the request once all have ended."""
-        is_first, pending.is_answered = not pending.is_answered, True
+        was_unanswered, pending.is_answered = not pending.is_answered, True
         running = pending.running_attempts
         if not running:
             del self._pending[pending.request.id]
-        losers = [number for number in running if is_first and not pending.attempts[number].is_streaming]
+        losers = [
+            number for number in running if was_unanswered and not pending.attempts[number].is_streaming
+        ]
         return [Cancel(pending.request.id, number) for number in losers] if self._settings.may_cancel else []
--- a/whinrouter/breaker.py
+++ b/whinrouter/breaker.py
@@ -15,7 +15,7 @@
 FAILURE_WINDOW = 60 * SECOND  # older failures are dropped
 FAILURE_THRESHOLD = 3  # failures that open a breaker
 BASE_COOLDOWN, MAX_COOLDOWN = SECOND // 4, 20 * SECOND
-COOLDOWN_JITTER = 0.15  # relative
+COOLDOWN_JITTER = 0.15  # relative, in both directions
 # Successes that remove one failure of their class: its breaker opens where more than a third fail.
 SUCCESSES_PER_FAILURE = 2
 # Shorter, as the server still serves the other classes, and a trial costs one request.
@@ -39,7 +39,7 @@
         return self._half_open_at is None
 
     def export_state(self, now: int) -> BreakerState:
-        """Return the state as spans; a running trial isn't a part of it."""
+        """Return the state as spans from now. It omits a running trial, which belongs to this process."""
         half_open_in = self._half_open_at - now if self._half_open_at is not None else None
         return BreakerState(
             tuple(now - failed_at for failed_at in self._failures), half_open_in, self._cooldown
@@ -111,7 +111,10 @@
         self.last_answer_at = 0
 
     def record_answer(self, now: int, is_trial: bool) -> None:
-        """Count an answer; even a late one closes a breaker that unanswered attempts had opened."""
+        """Count an answer. Even a late one closes a breaker that unanswered attempts had opened.
+
+        It does not close a breaker that failures had opened: for these only a trial answered in time counts.
+        """
         unanswered, self._unanswered, self.last_answer_at = self._unanswered, 0, now
         if self.is_closed:
             self._success_credit += 1
--- a/whinrouter/coalesced.py
+++ b/whinrouter/coalesced.py
@@ -20,14 +20,14 @@
         self._is_stopped = False
 
     def request(self) -> None:
-        """Run the function now, or as soon as the interval is over."""
+        """Run the function now, or as soon as the interval is over; do nothing after `stop`."""
         if self._cooldown is None and not self._is_stopped:
             self._run()
         else:
             self._is_requested = True
 
     def stop(self) -> None:
-        """Start no more runs."""
+        """Start no more runs, also for requests that are pending."""
         self._is_stopped = True
         if self._cooldown is not None:
             self._cooldown.cancel()
--- a/whinrouter/console.py
+++ b/whinrouter/console.py
@@ -1,4 +1,4 @@
-"""The command `copperlead`: blocks signals before anything large is imported, where it is to serve."""
+"""The command `copperlead`: blocks signals before anything large is imported, if it is to serve."""
 
 from __future__ import annotations
 
--- a/whinrouter/control/__init__.py
+++ b/whinrouter/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control address: operators' calls, one line a connection."""
+"""The control address: operators' calls, one line for each connection."""
--- a/whinrouter/control/calls.py
+++ b/whinrouter/control/calls.py
@@ -21,14 +21,15 @@
         self._operations: dict[str, tuple[tuple[str, ...], Operation]] = {}
 
     def add(self, name: str, argument_names: tuple[str, ...], operation: Operation) -> None:
-        """Register a call. `operation` is called with the arguments.
+        """Register a call.
 
-        It returns the text of the answer, or raises CallRefusedError.
+        `operation`: is called with the call's arguments, and returns the answer's text or raises
+        CallRefusedError.
         """
         self._operations[name] = argument_names, operation
 
     def answer(self, call: Call) -> bytes:
-        """Carry out a call and return the answer's line."""
+        """Carry out a call and return the answer's line; an invalid or refused call gives an error line."""
         try:
             return ok_answer(self._execute(call))
         except (BadCallError, CallRefusedError) as error:
