--- a/whinrouter/control/ctl.py
+++ b/whinrouter/control/ctl.py
@@ -9,7 +9,7 @@
 from whinrouter.control.session import MAX_LINE_BYTES
 
 EXIT_DONE, EXIT_REFUSED, EXIT_UNREACHABLE = 0, 1, 2
-ANSWER_TIMEOUT_SECONDS = 5.0  # the gateway is expected to answer within one second
+ANSWER_TIMEOUT_SECONDS = 5.0  # a gateway has to answer within one second
 MAX_ANSWER_BYTES = 8 * MAX_LINE_BYTES
 
 
--- a/whinrouter/control/server.py
+++ b/whinrouter/control/server.py
@@ -1,8 +1,8 @@
 """The listener of the control address.
 
-Its connections don't wait in line with clients: the event loop's `PrioritySelector` does not know their
+Its connections are not queued with clients: the event loop's `PrioritySelector` does not know their
 descriptors and handles them ahead of all clients when the process is at its own limit. At most `MAX_CALLERS`
-callers are connected; when that many are, the one that has waited longest is dropped for the next, so that
+callers are connected. When a further one connects, the caller that has waited longest is dropped, so that
 callers that send nothing can't lock out others.
 """
 
@@ -21,10 +21,10 @@
 audit = logging.getLogger("whinrouter.audit")  # its lines are never rate-limited
 
 MAX_CALLERS = 8  # their descriptors are reserved (RESERVED_DESCRIPTORS in program.py)
-# For a caller to send its line: people type, and some keep a connection open for 4 s before they call.
+# Within which a caller has to send its line: people type, and some connect 4 s before they call.
 LINE_TIMEOUT_SECONDS = 10.0
 LISTEN_BACKLOG = 64
-UNAUDITED_CALLS = frozenset({"HEALTH", "VIOLATIONS"})  # a monitor makes these all day
+UNAUDITED_CALLS = frozenset({"HEALTH", "VIOLATIONS"})  # a monitor repeats these calls all day
 LINGER_SECONDS = 1.0  # a caller may still be sending: closing at once would reset its connection
 
 
@@ -47,7 +47,7 @@
         return int(listener.getsockname()[1])
 
     def admit(self, caller: _CallerProtocol) -> None:
-        """Count a new caller, and drop the one that has waited longest if there are too many."""
+        """Count a new caller; drop the one that has waited longest if `MAX_CALLERS` are connected."""
         while len(self.callers) >= MAX_CALLERS:
             next(iter(self.callers)).drop()
         self.callers[caller] = None
--- a/whinrouter/control/session.py
+++ b/whinrouter/control/session.py
@@ -22,18 +22,18 @@
 
 
 class BadCallError(Exception):
-    """The line is no valid call."""
+    """The line is not a valid call; the text gives the reason."""
 
 
 class Session:
-    """One connection. `feed` and `end` return its call once; BadCallError if there can be none."""
+    """One connection. `feed` or `end` returns its call once, or raises BadCallError if it is invalid."""
 
     def __init__(self) -> None:
         self._line = b""
         self.is_finished = False  # the call was returned, or an error was raised
 
     def feed(self, data: bytes) -> Call | None:
-        """Add received bytes."""
+        """Add received bytes; return the call if its line is complete, else None."""
         if self.is_finished:
             return None
         self._line += data[: MAX_LINE_BYTES + 1]
@@ -43,7 +43,7 @@
         return self._parse(line)
 
     def end(self) -> Call | None:
-        """Handle the end of input."""
+        """Handle the end of input; return the call if it was not returned before, else None."""
         return None if self.is_finished else self._parse(self._line)
 
     def _parse(self, line: bytes) -> Call:
--- a/whinrouter/handover/channel.py
+++ b/whinrouter/handover/channel.py
@@ -2,7 +2,7 @@
 
 The path belongs to the newest process that serves. It binds a temporary name and renames that over the path,
 so that the path always exists, and a process that dies before it serves leaves the path as it was. A socket
-that a killed process left behind accepts no connection, which is treated like a missing path.
+that a killed process left behind accepts no connection, which has the same effect as a missing path.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class PeerHandler(Protocol):
-    """Receives the messages and the end of a connection."""
+    """Is called with each message of a connection, and once when the connection has ended."""
 
     def message_received(self, peer: PeerConnection, message: Message) -> None: ...
 
@@ -36,9 +36,10 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """One end of the connection to another process."""
+    """One end of the connection to another process; an invalid message closes it."""
 
     def __init__(self, handler: PeerHandler, is_newer: bool) -> None:
+        """`is_newer`: this process is the newer one of the two."""
         self.session = HandoverSession(is_newer)
         self._handler = handler
         self._transport: asyncio.Transport | None = None
@@ -61,7 +62,7 @@
             self.close()
 
     def close(self) -> None:
-        """Abort the connection."""
+        """Close the connection at once; data not sent yet is lost."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -88,15 +89,15 @@
 
 
 async def connect(path: Path, handler: PeerHandler) -> PeerConnection | None:
-    """Return a connection to the process that serves at this path; None if there is none."""
+    """Return a connection to the process that serves at this path; None if no connection is possible."""
 
     async def connect_once() -> PeerConnection:
         with contextlib.ExitStack() as cleanup:
             endpoint = socket.socket(socket.AF_UNIX)
             cleanup.callback(endpoint.close)
             endpoint.setblocking(False)
-            with _short_path(path) as short:
-                endpoint.connect(short)
+            with _short_path(path) as alias:
+                endpoint.connect(alias)
             if not _is_same_user(endpoint):
                 raise PermissionError("the socket belongs to another user")
             loop = asyncio.get_running_loop()
@@ -114,7 +115,7 @@
 
 
 class PeerListener:
-    """Listens for the next process; it may be opened again after another process has had the path."""
+    """Listens for newer processes; may be opened again after another process has had the path."""
 
     def __init__(self, path: Path, handler: PeerHandler, admit: Callable[[PeerConnection], bool]) -> None:
         """`admit`: called with each new connection; False closes it."""
@@ -136,8 +137,8 @@
         try:
             with contextlib.suppress(FileNotFoundError):
                 temporary_path.unlink()
-            with _short_path(temporary_path) as short:
-                listener.bind(short)
+            with _short_path(temporary_path) as alias:
+                listener.bind(alias)
             temporary_path.chmod(0o600)
             listener.listen(MAX_PEERS)
             self._listener, self._acceptor = (
--- a/whinrouter/handover/connections.py
+++ b/whinrouter/handover/connections.py
@@ -1,4 +1,4 @@
-"""Client connections in the form in which `transfer.py` hands them over and sets them up."""
+"""The connections that `transfer.py` hands over, and those that it sets up in this process."""
 
 from __future__ import annotations
 
@@ -149,7 +149,7 @@
         answer, flow = self._answer, self._answer.flow
         unsent = _framed(flow.unsent, answer.chunked)
         if flow.is_received:
-            # Without unsent bytes the final chunk was written already.
+            # If no bytes are unsent, the final chunk was written already.
             is_end_written = not unsent and answer.chunked
             final_chunk = LAST_CHUNK if answer.chunked and not is_end_written else b""
             return ClientTransfer(b"", answer.client.freeze() + unsent + final_chunk, closes_connection=True)
@@ -172,7 +172,7 @@
 
 
 class _AdoptedClient:
-    """A client connection with no request sent on to a host."""
+    """A client connection of which no request has been sent to a host."""
 
     def __init__(self, message: ClientTransfer, client: ClientConnection) -> None:
         self._message, self._client = message, client
@@ -188,7 +188,7 @@
 
 
 class _AdoptedUpload:
-    """A request whose body is being sent to its host."""
+    """A request whose body is being sent to its host: the connections of both."""
 
     def __init__(
         self, message: UploadTransfer, client: ClientConnection, host: TargetHost, connection: HostConnection
@@ -218,7 +218,10 @@
 def connection_adopter(
     frontend: Frontend, upstream: ConnectionPool
 ) -> Callable[[ClientTransfer | UploadTransfer, list[socket.socket]], AdoptedConnection]:
-    """Return the function that sets up connections of another process in this one."""
+    """Return the function that sets up connections of another process in this one.
+
+    The function raises NoCapacityError if the limit on client connections is reached.
+    """
 
     def adopt(message: ClientTransfer | UploadTransfer, sockets: list[socket.socket]) -> AdoptedConnection:
         if not frontend.has_room:
--- a/whinrouter/handover/coordinator.py
+++ b/whinrouter/handover/coordinator.py
@@ -6,14 +6,14 @@
     start:    connect to the socket path; restore the older process's state if it replies within
               `SNAPSHOT_TIMEOUT_SECONDS`, else start without it
     serving:  send `Ready` to the older process and listen at the path
-    replaced: after `Ready`, stop accepting and report the number of open descriptors until the end; if the
-              newer process ends first, accept again and listen at the path again
+    replaced: after `Ready`, stop accepting, transfer connections and report the number of open descriptors
+              until the exit; if the newer process ends first, accept again and listen at the path again
     both:     operators' calls and stopped hosts that one process learns of are applied by the other too
 
 While both serve, the newer process may use the descriptors that the older one does not hold, and half of the
 learned limits on requests in flight to each host. Together they stay below one and a half times the load of
-one process. What a cold host is sent follows the answers that each process sees, which are of the same
-clients. Once the older process has ended, the newer one has all of it.
+one process. The requests sent to a cold host follow the answers that each process sees; both processes have
+the same clients. Once the older process has ended, the newer one uses all descriptors and the whole limits.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
 
 
 def decode_member(entry: HostEntry) -> Member:
-    """Return a host in the form of the driver; ValueError if its state is unknown."""
+    """Return a host of a handover message as a member of a host list; ValueError if its state is unknown."""
     server = Server(
         entry.server_id,
         State(entry.state),
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class HandoverCoordinator:
-    """One process's connections to the older process and to newer ones."""
+    """One process's side of all handovers: from the older process, and to newer ones."""
 
     gateway: Gateway
     frontend: Frontend
@@ -121,11 +121,14 @@
     _peer_listener: PeerListener | None = None
     _tasks: set[asyncio.Task[object]] = field(default_factory=set)
     _older_descriptors: int = 0  # descriptors that the older process still holds
-    _transfer_receiver: TransferReceiver | None = None  # answers that came from older processes
+    _transfer_receiver: TransferReceiver | None = None  # also relays answers that came from older processes
     _in_transfer: set[ClientConnection | RelayedAnswer] = field(default_factory=set)
 
     async def restore_from_older(self) -> Snapshot | None:
-        """Restore the older process's state and return it; None if there is none or it can't be used."""
+        """Restore the older process's state and return it.
+
+        None if there is no older process, it does not reply in time or its state can't be used.
+        """
         self._snapshot = asyncio.get_running_loop().create_future()
         try:
             async with asyncio.timeout(SNAPSHOT_TIMEOUT_SECONDS):
@@ -155,7 +158,7 @@
     def _restore(self, snapshot: Snapshot) -> None:
         now = self.controller.now()
         self.gateway.record_event(EventKind.TAKEN_OVER, "from an older process")
-        self.controller.restore(snapshot.out_ages, snapshot.back_ages, snapshot.start_ages, now)
+        self.controller.restore(snapshot.out_ages, snapshot.put_back_ages, snapshot.start_ages, now)
         self.controller.apply_list(
             HostList(snapshot.revision, True, tuple(map(decode_member, snapshot.hosts)))
         )
@@ -169,7 +172,7 @@
         )
 
     async def start_serving(self) -> None:
-        """Listen for the next process and tell the older one that this one serves."""
+        """Listen for the next process and for transferred connections; send Ready to the older process."""
         self._peer_listener = PeerListener(self.socket_path, self, self._admit_peer)
         await self._peer_listener.open()
         adopt = connection_adopter(self.frontend, self.upstream)
@@ -183,7 +186,7 @@
         self.is_serving = True
 
     def close(self) -> None:
-        """Close all connections and tasks at the process's end; the peers see the end."""
+        """Close all connections to peers and cancel all tasks, at the process's end."""
         if self._peer_listener is not None:
             self._peer_listener.close()
         if self._transfer_receiver is not None:
@@ -199,14 +202,14 @@
         return self.socket_path.with_name(f"answers-{self.socket_path.name}")
 
     async def wait_for_relays(self, seconds: float) -> None:
-        """Wait until all relayed answers have ended, for at most this many seconds."""
+        """Wait until all relayed answers have ended, but at most this many seconds."""
         if self._transfer_receiver is not None:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
                     await self._transfer_receiver.wait_until_done()
 
     async def _transfer_connections(self, peer: PeerConnection) -> None:
-        """Hand over each connection as soon as it is in a state that can be transferred."""
+        """Hand over each connection as soon as it can be transferred, while the newer process serves."""
         while peer.session.phase is Phase.BOTH_SERVING:
             for client in list(self.frontend.connections):
                 if client not in self._in_transfer and client.state in TRANSFERABLE_STATES:
@@ -302,15 +305,15 @@
             peer.close()
             return
         controller, now = self.controller, self.controller.now()
-        out_ages, back_ages = controller.maintenance.ages(now)
+        out_ages, put_back_ages = controller.maintenance.ages(now)
         peer.send(
             Snapshot(
                 self.discovery_source(),
                 controller.revision,
                 tuple(map(encode_member, controller.members.values())),
                 out_ages,
-                back_ages,
-                controller.starts.ages(now),
+                put_back_ages,
+                controller.start_times.ages(now),
                 not controller.presence.accepts_clients,
                 self.gateway.export_learned_state(now),
             )
@@ -338,14 +341,17 @@
             await asyncio.sleep(HOLDING_REPORT_SECONDS)
 
     def _set_older_descriptors(self, older_descriptors: int) -> None:
-        """Divide the descriptors that the older process does not hold between clients and hosts."""
+        """Halve the available descriptors between clients and hosts.
+
+        Those that the older process holds and those of relayed answers, two for each, are not available.
+        """
         self._older_descriptors = older_descriptors
         relayed_descriptors = (
             2 * len(self._transfer_receiver.answers) if self._transfer_receiver is not None else 0
         )
         limit = max(1, (self.max_descriptors - older_descriptors - relayed_descriptors) // 2)
         self.frontend.max_connections = limit
-        self.upstream.limit = limit
+        self.upstream.max_connections = limit
 
     def set_max_descriptors(self, max_descriptors: int) -> None:
         """Change the limit on descriptors, as the settings have changed."""
@@ -353,7 +359,7 @@
         self._set_older_descriptors(self._older_descriptors)
 
     def peer_lost(self, peer: PeerConnection) -> None:
-        """A peer process has ended or closed its connection."""
+        """Handle the end of a peer process or of the connection to it."""
         if peer is self.older_peer:
             if self._snapshot is not None and not self._snapshot.done():
                 self._snapshot.set_result(None)  # `restore_from_older` handles it
--- a/whinrouter/handover/messages.py
+++ b/whinrouter/handover/messages.py
@@ -24,7 +24,7 @@
 
 
 class ProtocolError(Exception):
-    """The data received is no valid message of this version, or not allowed in this phase."""
+    """The received data is not a valid message of this version, or not allowed in this phase."""
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -41,7 +41,7 @@
 
 
 class HostEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A host and its address."""
+    """A host as discovery lists it, with its address."""
 
     server_id: int
     host: str
@@ -61,10 +61,10 @@
     revision: int
     hosts: tuple[HostEntry, ...]  # as listed by discovery
     out_ages: dict[int, int]  # microseconds since each host was taken out
-    back_ages: dict[int, int]  # microseconds since each host was put back
-    start_ages: dict[int, StartAge]  # start times of the hosts and their ages at this process
-    is_leaving: bool
-    learned: LearnedState
+    put_back_ages: dict[int, int]  # microseconds since each host was put back
+    start_ages: dict[int, StartAge]  # start times of the hosts and their ages at the older process
+    is_leaving: bool  # the gateway is being drained
+    learned: LearnedState  # of the decision module
 
 
 class Ready(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -103,13 +103,16 @@
 
 
 class FrameDecoder:
-    """Collects received bytes and returns the messages that are complete."""
+    """Decodes frames from bytes that are split at any place."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[Message]:
-        """Add received bytes; ProtocolError if they are invalid, after which no more may be fed."""
+        """Add received bytes and return the messages that are complete.
+
+        ProtocolError if the bytes are invalid, after which no more may be fed.
+        """
         self._buffer += data
         messages = []
         while len(self._buffer) >= _HEADER.size:
--- a/whinrouter/handover/relayed.py
+++ b/whinrouter/handover/relayed.py
@@ -30,7 +30,10 @@
         now: Callable[[], float],
         on_done: Callable[[RelayedAnswer], None],
     ) -> None:
-        """`length`: bytes of the whole body, if announced; `chunked`: the client receives it in chunks."""
+        """`length`: bytes of the whole body, if announced; `chunked`: the client receives it in chunks.
+
+        `now`: seconds of the event loop's clock; `on_done`: called when both connections are closed.
+        """
         self.chunked, self.now, self._on_done = chunked, now, on_done
         self.reader = RemainderReader(remainder)
         self.client = _ClientSide(self)
@@ -53,7 +56,7 @@
         self.host.thaw()
 
     def abandon(self) -> None:
-        """Discard it: the process that offered it keeps it."""
+        """Close both sockets here without ending the answer, as another process owns it."""
         self.flow.release()
         self.close()
 
@@ -62,7 +65,7 @@
         transport.write(encode_chunk(data) if self.chunked else data)
 
     def host_data_received(self, data: bytes) -> None:
-        """Pass on data from the host."""
+        """Parse data from the host and pass on the body in it; invalid framing fails the answer."""
         try:
             body = self.reader.feed(data)
         except BrokenRemainderError as error:
@@ -75,7 +78,7 @@
             self.flow.end()
 
     def host_closed(self, by_reset: bool) -> None:
-        """The host's connection has ended, which may also be the end of the body."""
+        """Handle the end of the host's connection: the end of the body, or a failure of the answer."""
         if not self.reader.is_whole:
             if not by_reset and self.reader.end():
                 self.flow.end()
@@ -83,7 +86,7 @@
                 self.flow.fail()
 
     def finish_client(self, transport: asyncio.Transport) -> None:
-        """All of the body was written: end the body and then the client's connection."""
+        """End the body, all of which was written, and then the client's connection."""
         if self.chunked:
             transport.write(LAST_CHUNK)
         transport.write_eof()
@@ -91,12 +94,14 @@
             transport, self.now() + READER_TIMEOUT_SECONDS, self.client.bytes_delivered()
         )
 
-    def _close_when_drained(
-        self, transport: asyncio.Transport, deadline: float, acknowledged_bytes: int
-    ) -> None:
-        """Close after the last byte has gone out; a slow reader has time for as long as it makes progress."""
+    def _close_when_drained(self, transport: asyncio.Transport, deadline: float, previous_bytes: int) -> None:
+        """Close after the last byte was sent.
+
+        `previous_bytes`: the bytes acknowledged at the check before. A slow client has time for as long as it
+        acknowledges more.
+        """
         loop, latest_bytes = asyncio.get_running_loop(), self.client.bytes_delivered()
-        if latest_bytes > acknowledged_bytes:
+        if latest_bytes > previous_bytes:
             deadline = self.now() + READER_TIMEOUT_SECONDS
         if transport.get_write_buffer_size() == 0 or self.now() >= deadline:
             loop.call_later(CLIENT_LINGER_SECONDS, self.close)
@@ -104,7 +109,7 @@
             loop.call_later(DRAIN_CHECK_SECONDS, self._close_when_drained, transport, deadline, latest_bytes)
 
     def close(self) -> None:
-        """Close both connections."""
+        """Close both connections and report that the answer is over."""
         self.is_over = True
         self.host.drop()
         self.client.drop()
@@ -118,6 +123,8 @@
 
 
 class _Side(asyncio.Protocol):
+    """One of the two connections of a relayed answer."""
+
     def __init__(self, answer: RelayedAnswer) -> None:
         self._answer = answer
         self.transport: SocketTransport | None = None
@@ -181,7 +188,7 @@
 
 
 class _ClientSide(_Side):
-    """The client's connection, which ends with this answer: what the client sends is not read."""
+    """The client's connection. It ends with this answer, so further requests of the client are not read."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
--- a/whinrouter/handover/session.py
+++ b/whinrouter/handover/session.py
@@ -1,4 +1,6 @@
-"""Phases of the connection between two processes of a gateway; a message out of order is an error. No I/O.
+"""Phases of the connection between two processes of a gateway. No I/O.
+
+A message that its phase does not allow is an error and ends the connection.
 
     older:  HANDSHAKE --Hello in, Snapshot out--> SYNCED --Ready in---> BOTH_SERVING --end--> CLOSED
     newer:  HANDSHAKE --Hello out, Snapshot in--> SYNCED --Ready out--> BOTH_SERVING --end--> CLOSED
@@ -27,7 +29,7 @@
 
 
 class Phase(Enum):
-    """How far the handover has come."""
+    """The phase of a connection, as in the diagram above."""
 
     HANDSHAKE = "handshake"
     SYNCED = "synced"
@@ -52,15 +54,19 @@
 
 
 class HandoverSession:
-    """One side's state of the connection."""
+    """One side's state of the connection: its phase, and bytes that are not a whole message yet."""
 
     def __init__(self, is_newer: bool) -> None:
+        """`is_newer`: this process is the newer one of the two."""
         self.is_newer = is_newer
         self.phase = Phase.HANDSHAKE
         self._decoder = FrameDecoder()
 
     def feed(self, data: bytes) -> list[Message]:
-        """Return the messages received; ProtocolError if one is invalid or not allowed in this phase."""
+        """Add received bytes and return the messages that are complete.
+
+        ProtocolError if one is invalid or not allowed in its phase; the connection can't be used after that.
+        """
         messages = self._decoder.feed(data)
         for message in messages:
             if not isinstance(
--- a/whinrouter/handover/transfer.py
+++ b/whinrouter/handover/transfer.py
@@ -13,9 +13,9 @@
 Nothing is read or written between PAUSED and the end of OFFERED, so that the message stays accurate. Either
 process may be killed at any step: until "held" is sent the older one owns the connection, and afterwards the
 newer one. An older process that gives up waiting first shuts down its receiving side and then checks once
-more whether "held" has arrived. After that it can't be sent any more, so both processes agree on the owner.
-A connection whose framing can't be described at this moment is tried again; one whose framing never can be
-stays until the process ends.
+more whether "held" has arrived. From the shutdown on "held" can't be sent any more, so both processes agree
+on the owner. A connection whose framing can't be described at this moment is tried again later; one whose
+framing can never be described stays with the older process until that ends.
 """
 
 from __future__ import annotations
@@ -38,7 +38,8 @@
 
 log = logging.getLogger(__name__)
 
-# Enough for everything that may be buffered for one connection's client and host, and the other fields.
+# Of one message: enough for all bytes that may be buffered for one connection's client and host, and the
+# other fields.
 MAX_MESSAGE_BYTES = 512 * 1024
 PACKET_BYTES = 32 * 1024
 MAX_DESCRIPTORS = 2  # in one message: the client's and the host's
@@ -57,14 +58,14 @@
     remainder: Remainder
     body_length: int | None  # of the whole body, as announced to the client; None: not announced
     chunked: bool  # the client receives it in chunks
-    client_output: bytes = b""  # to be written first
+    client_output: bytes = b""  # to be written to the client before the rest of the body
 
 
 class ClientTransfer(msgspec.Struct, frozen=True, array_like=True, tag="client"):
-    """A client connection between requests, or within one of which nothing was sent on: its socket."""
+    """A client connection between requests, or in a request of which no host has a part: its socket."""
 
     unread_input: bytes  # read from the socket and not parsed yet
-    client_output: bytes  # to be written first
+    client_output: bytes  # to be written to the client before anything else
     closes_connection: bool  # the connection ends after these bytes
 
 
@@ -79,8 +80,8 @@
     class_name: str
     client_timeout: int  # microseconds that the client waits after the end of the body
     server_id: int
-    client_output: bytes
-    host_output: bytes
+    client_output: bytes  # to be written to the client before anything else
+    host_output: bytes  # to be written to the host before the rest of the body
 
 
 TransferMessage = AnswerTransfer | ClientTransfer | UploadTransfer
@@ -93,31 +94,31 @@
     def pause(self) -> TransferMessage | None:
         """Stop reading and writing; return the message that describes the connection.
 
-        None if its framing can't be described at this moment: the connection goes on.
+        None if its framing can't be described at this moment: the connection is served as before.
         """
 
     @property
     def is_over(self) -> bool:
-        """Whether it has ended, or serves another request by now."""
+        """Whether the connection has ended, or has moved on to another state or request."""
 
     def descriptors(self) -> tuple[int, ...]:
         """Return the client's descriptor and, if there is a host, the host's."""
 
     def resume(self) -> None:
-        """Go on here, as the transfer failed."""
+        """Resume reading and writing in this process, as the transfer failed."""
 
     def detach(self) -> None:
-        """Close it here without notifying either peer, as another process owns it."""
+        """Close the sockets here without notifying either peer, as another process owns the connection."""
 
 
 class AdoptedConnection(Protocol):
-    """A connection of another process that is set up here, and paused."""
+    """A connection received from another process: set up here, and paused until the transfer is decided."""
 
     def activate(self) -> None:
         """Start reading and writing: this process is the only owner."""
 
     def abandon(self) -> None:
-        """Discard it: the other process keeps the connection."""
+        """Close the sockets here: the other process keeps the connection."""
 
 
 Adopt = Callable[[ClientTransfer | UploadTransfer, list[socket.socket]], AdoptedConnection]
@@ -138,20 +139,23 @@
 
 
 def split_packets(message: TransferMessage) -> list[bytes]:
-    """Return a message as packets: its length, then its payload in pieces."""
+    """Return a message as packets of at most `PACKET_BYTES`: its length, then its payload."""
     payload = msgspec.msgpack.encode(message)
     framed = _LENGTH_PREFIX.pack(len(payload)) + payload
     return [framed[offset : offset + PACKET_BYTES] for offset in range(0, len(framed), PACKET_BYTES)]
 
 
 class TransferSender:
-    """The older process's side."""
+    """The older process's side: offers connections to the process that listens at the path."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
 
     async def hand_over(self, connection: TransferableConnection) -> bool:
-        """Return whether the newer process owns it now; if not, it resumes here unless it is over."""
+        """Return whether the newer process owns the connection now.
+
+        If not, the connection resumes here, unless it is over.
+        """
         message = await self._wait_until_paused(connection)
         if message is None:
             return False
@@ -179,19 +183,19 @@
     async def _send_connection(self, connection: TransferableConnection, message: TransferMessage) -> bool:
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as endpoint:
             endpoint.setblocking(False)
-            with _short_path(self._path) as short:
-                endpoint.connect(short)
-            first, *rest = split_packets(message)
+            with _short_path(self._path) as alias:
+                endpoint.connect(alias)
+            first, *remaining_packets = split_packets(message)
             socket.send_fds(endpoint, [first], list(connection.descriptors()))
             try:
                 async with asyncio.timeout(REPLY_TIMEOUT_SECONDS):
-                    return await self._send_rest_and_wait(endpoint, rest)
+                    return await self._send_packets_and_wait(endpoint, remaining_packets)
             except TimeoutError:
                 return _shut_and_check_held(endpoint)
 
-    async def _send_rest_and_wait(self, endpoint: socket.socket, rest: list[bytes]) -> bool:
+    async def _send_packets_and_wait(self, endpoint: socket.socket, packets: list[bytes]) -> bool:
         loop = asyncio.get_running_loop()
-        for packet in rest:
+        for packet in packets:
             await loop.sock_sendall(endpoint, packet)
         return await loop.sock_recv(endpoint, len(HELD_REPLY)) == HELD_REPLY
 
@@ -209,7 +213,10 @@
     """The newer process's side: it accepts connections and relays the answers among them."""
 
     def __init__(self, path: Path, now: Callable[[], float], adopt: Adopt | None = None) -> None:
-        """`adopt`: sets up connections that are no answers; None: those are rejected."""
+        """`adopt`: sets up connections other than answers; None: those are rejected.
+
+        `now`: seconds of the event loop's clock.
+        """
         self._path, self._now, self._adopt = path, now, adopt
         self._listener: socket.socket | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -229,8 +236,8 @@
         try:
             with contextlib.suppress(FileNotFoundError):
                 temporary_path.unlink()
-            with _short_path(temporary_path) as short:
-                listener.bind(short)
+            with _short_path(temporary_path) as alias:
+                listener.bind(alias)
             temporary_path.chmod(0o600)
             listener.listen(MAX_RELAYED_ANSWERS)
             listener.setblocking(False)
@@ -245,7 +252,7 @@
             self._start_task(self._end_stuck_answers())
 
     def close(self) -> None:
-        """Accept no more transfers; connections that were accepted go on."""
+        """Accept no more transfers; connections that were accepted before are still served."""
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
@@ -257,7 +264,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _end_stuck_answers(self) -> None:
-        """End answers that make no progress."""
+        """Check all relayed answers at an interval, and end those that make no progress."""
         while True:
             await asyncio.sleep(STUCK_CHECK_SECONDS)
             for answer in list(self.answers):
--- a/whinrouter/interface.py
+++ b/whinrouter/interface.py
@@ -65,7 +65,7 @@
     LOCAL_FAILURE = "local failure"  # the gateway's own machine failed; says nothing about the server
     UNKNOWN = "unknown"  # anything else: the attempt may have run
 
-    __hash__ = object.__hash__  # members are singletons; Enum's own hash runs Python code at each lookup
+    __hash__ = object.__hash__  # members are singletons; Enum's own hash of the name is Python code
 
     @property
     def never_ran(self) -> bool:
@@ -90,7 +90,7 @@
     scope: Scope = Scope.CELL
     dedup_window: int = 0  # how long a group drops repeats, from the first attempt that may have run
     worth: float = 1.0
-    late_worth: float = 0.0
+    late_worth: float = 0.0  # worth of an answer after the aim
 
     def __post_init__(self) -> None:
         for key in ("aim", "deadline"):
@@ -122,7 +122,7 @@
     warm_keys: bool = False  # a server does less work for a key that it has served lately
     cold_share: float = 1.0  # least share of its capacity that a server has at its start
     ramp_time: int = 0  # longest time from a server's start to its full capacity
-    # A cold server collapses if it is sent more than this multiple of its capacity within this window.
+    # A cold server collapses if it is sent more than this multiple of its present capacity in this window.
     cold_overload_multiple: float = 4.0
     cold_overload_window: int = SECOND
     weight_is_capacity: bool = True  # False: weights follow the recent load instead
@@ -157,7 +157,7 @@
     zone: str = ""
     kind: str = ""
     cell: int = 0
-    weight: float = 1.0
+    weight: float = 1.0  # relative; see `Settings.weight_is_capacity`
     started_at: int = 0  # moment of its latest start; 0: long ago
 
 
@@ -165,7 +165,7 @@
 
 
 class ServerList(NamedTuple):
-    """Discovery reports servers."""
+    """Discovery reports servers; `update` says which."""
 
     update: Update
     servers: tuple[Server, ...] = ()
@@ -221,7 +221,7 @@
     latency: int
     client_answered: bool  # the client has its final answer
     load: dict[str, float] | None = None
-    # Part of the latency that the server did not cause: its answer lay unread, or the body was incomplete.
+    # Part of the latency that the server did not cause: its answer was still unread, or the body incomplete.
     local_delay: int = 0
     body_consumed: bool = False  # a part of the body is lost to further attempts: none may start
 
@@ -293,13 +293,13 @@
 
 
 class Probe(NamedTuple):
-    """Ask a server for its load."""
+    """Ask a server for its load and health; a `ProbeEnded` follows."""
 
     server: ServerId
 
 
 class SetTimer(NamedTuple):
-    """Request a `TimerFired` after a delay; not needed any more once the attempt named here has ended."""
+    """Request a `TimerFired` after a delay; it may be dropped once the attempt named here has ended."""
 
     delay: int
     token: str
--- a/whinrouter/invariants/__init__.py
+++ b/whinrouter/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""What must hold for every request, checked at run time: events, guards and the count of violations."""
+"""Checks at run time of the invariants that hold for every request: events, guards, counts of violations."""
--- a/whinrouter/invariants/events.py
+++ b/whinrouter/invariants/events.py
@@ -17,7 +17,7 @@
 
 
 class EventKind(Enum):
-    """What happened."""
+    """The kinds of recorded state changes."""
 
     ADMITTED = "admitted"
     WAITING = "waiting"  # an attempt waits for its connection
--- a/whinrouter/invariants/lifecycle.py
+++ b/whinrouter/invariants/lifecycle.py
@@ -3,7 +3,7 @@
 
 Theory of operation. The driver asks a guard before it does any of these, whatever has caused the act: the
 decision module, a timer, a client, a host, a list of hosts or the end of the process. A guard knows what was
-done for the request so far, and nothing of the cause.
+done for the request so far, and nothing about the cause.
 
     ADMITTED --an attempt waits for its connection--> WAITING --its first byte leaves--> SENT
     ADMITTED, SENT --an attempt goes out on an idle connection-----------------------------> SENT
@@ -23,7 +23,7 @@
 from whinrouter.invariants.violations import Invariant, Violations
 
 DEADLINE_SLACK = 150 * MS  # a host may be given this much more time than the client has left
-ANSWER_SLACK = 500 * MS  # an answer this long after the deadline is worth nothing, but no violation
+ANSWER_SLACK = 500 * MS  # an answer up to this long after the deadline is worthless, but no violation
 REFUSALS = frozenset({429, 503})
 
 
@@ -96,80 +96,96 @@
         self.ring = EventRing()
         self.violations = Violations(self.ring)
         self._classes: dict[str, RequestClass] = {}
-        self.retune(settings)
+        self.update_settings(settings)
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Apply new settings; requests in progress keep their class."""
         self._classes = {request_class.name: request_class for request_class in settings.classes}
 
     def admit(self, request: int, class_name: str, deadline: int, now: int, name: str) -> RequestLifecycle:
-        """A request is admitted: it is owed an answer from now on. `name`: its id, as the client gave it."""
+        """Record an admitted request, which is owed an answer from now on, and return its lifecycle.
+
+        `name`: the id that the client gave it.
+        """
         self.ring.record(now, EventKind.ADMITTED, request, 0, name)
         return RequestLifecycle(request, self._classes.get(class_name), deadline)
 
     def adopt(
         self, request: int, class_name: str, deadline: int, server: Server, now: int, name: str
     ) -> RequestLifecycle:
-        """A request of another process continues here, with its one attempt out at this host."""
-        life = self.admit(request, class_name, deadline, now, name)
-        life.state, life.attempts_sent = RequestState.SENT, 1
-        life.first_sent, life.first_server = now, server
-        self.ring.record(now, EventKind.TAKEN_OVER, request, 0, "its attempt is out")
-        return life
+        """Record a request of another process that continues here; return its lifecycle.
 
-    def hand_over(self, life: RequestLifecycle, now: int) -> None:
-        """Another process continues the request, and owes its answer."""
-        life.state = RequestState.GONE
-        self.ring.record(now, EventKind.GONE, life.request, 0, "another process goes on with it")
-
-    def attempt_waiting(self, life: RequestLifecycle, attempt: int, now: int) -> None:
-        """An attempt waits for a connection."""
-        if life.state in FINAL_STATES:
-            self._violated(Invariant.STATE_ORDER, life, now, f"an attempt waits though {life.state.value}")
+        Its one attempt is in progress at `server`.
+        """
+        lifecycle = self.admit(request, class_name, deadline, now, name)
+        lifecycle.state, lifecycle.attempts_sent = RequestState.SENT, 1
+        lifecycle.first_sent, lifecycle.first_server = now, server
+        self.ring.record(now, EventKind.TAKEN_OVER, request, 0, "its attempt is out")
+        return lifecycle
+
+    def hand_over(self, lifecycle: RequestLifecycle, now: int) -> None:
+        """Record that another process continues the request, and owes its answer."""
+        lifecycle.state = RequestState.GONE
+        self.ring.record(now, EventKind.GONE, lifecycle.request, 0, "another process goes on with it")
+
+    def attempt_waiting(self, lifecycle: RequestLifecycle, attempt: int, now: int) -> None:
+        """Record that an attempt waits for a connection."""
+        if lifecycle.state in FINAL_STATES:
+            self._violated(
+                Invariant.STATE_ORDER, lifecycle, now, f"an attempt waits though {lifecycle.state.value}"
+            )
             return
-        life.state = RequestState.WAITING
-        self.ring.record(now, EventKind.WAITING, life.request, attempt, "for a connection")
+        lifecycle.state = RequestState.WAITING
+        self.ring.record(now, EventKind.WAITING, lifecycle.request, attempt, "for a connection")
 
     def may_send(
-        self, life: RequestLifecycle, attempt: int, server: Server, is_ready: bool, timeout: int, now: int
+        self,
+        lifecycle: RequestLifecycle,
+        attempt: int,
+        server: Server,
+        is_ready: bool,
+        timeout: int,
+        now: int,
     ) -> bool:
         """Whether the first byte of an attempt may leave now; if so, the attempt counts as sent.
 
         `is_ready`: the host may be sent to, as far as this process knows. `timeout`: the microseconds that
         the host is given for its answer.
         """
-        if life.state in FINAL_STATES or now > life.deadline:
-            why = life.state.value if life.state in FINAL_STATES else "its time is up"
-            return self._violated(Invariant.SENT_WHILE_OWED, life, now, f"attempt {attempt}, though {why}")
+        if lifecycle.state in FINAL_STATES or now > lifecycle.deadline:
+            reason = lifecycle.state.value if lifecycle.state in FINAL_STATES else "its time is up"
+            return self._violated(
+                Invariant.SENT_WHILE_OWED, lifecycle, now, f"attempt {attempt}, though {reason}"
+            )
         if not is_ready:
-            return self._violated(Invariant.SENT_TO_READY_HOST, life, now, f"attempt {attempt}")
-        if timeout > life.deadline - now + DEADLINE_SLACK:
+            return self._violated(Invariant.SENT_TO_READY_HOST, lifecycle, now, f"attempt {attempt}")
+        if timeout > lifecycle.deadline - now + DEADLINE_SLACK:
             return self._violated(
-                Invariant.DEADLINE_TOLD, life, now, f"{timeout} told, {life.deadline - now} left"
+                Invariant.DEADLINE_TOLD, lifecycle, now, f"{timeout} given, {lifecycle.deadline - now} left"
             )
-        if life.may_have_run and not self._may_repeat(life, server, now):
-            return self._violated(Invariant.REPEATED_ONLY_SAFELY, life, now, f"attempt {attempt}")
-        self._count_sent(life, attempt, server, now)
+        if lifecycle.may_have_run and not self._may_repeat(lifecycle, server, now):
+            return self._violated(Invariant.REPEATED_ONLY_SAFELY, lifecycle, now, f"attempt {attempt}")
+        self._count_sent(lifecycle, attempt, server, now)
         return True
 
-    def _count_sent(self, life: RequestLifecycle, attempt: int, server: Server, now: int) -> None:
+    def _count_sent(self, lifecycle: RequestLifecycle, attempt: int, server: Server, now: int) -> None:
         reason = "first"
-        if life.attempts_sent:
-            reason = f"retry after {life.last_outcome}" if life.last_outcome else "hedge"
-        if not life.may_have_run:
-            life.first_sent, life.first_server = now, server
-        life.attempts_sent += 1
-        life.last_outcome = ""
-        life.state = RequestState.SENT
-        self.ring.record(now, EventKind.SENT, life.request, attempt, reason)
-
-    def _may_repeat(self, life: RequestLifecycle, server: Server, now: int) -> bool:
-        request_class, first = life.request_class, life.first_server
+        if lifecycle.attempts_sent:
+            reason = f"retry after {lifecycle.last_outcome}" if lifecycle.last_outcome else "hedge"
+        if not lifecycle.may_have_run:
+            lifecycle.first_sent, lifecycle.first_server = now, server
+        lifecycle.attempts_sent += 1
+        lifecycle.last_outcome = ""
+        lifecycle.state = RequestState.SENT
+        self.ring.record(now, EventKind.SENT, lifecycle.request, attempt, reason)
+
+    def _may_repeat(self, lifecycle: RequestLifecycle, server: Server, now: int) -> bool:
+        request_class, first = lifecycle.request_class, lifecycle.first_server
         if request_class is None or first is None or request_class.effect is Effect.AT_MOST_ONCE:
             return False
         if request_class.effect is Effect.IDEMPOTENT:
             return True
-        is_remembered = now < life.first_sent + request_class.dedup_window
+        is_remembered = now < lifecycle.first_sent + request_class.dedup_window
         if request_class.scope is Scope.ALL:
             return is_remembered
         is_same_group = (
@@ -178,49 +194,54 @@
         return is_remembered and is_same_group
 
     def attempt_ended(
-        self, life: RequestLifecycle, attempt: int, has_begun: bool, outcome: Outcome, now: int
+        self, lifecycle: RequestLifecycle, attempt: int, has_begun: bool, outcome: Outcome, now: int
     ) -> None:
-        """An attempt is over; `has_begun`: `may_send` had let it begin."""
-        life.attempts_not_run += has_begun and outcome.never_ran
-        life.last_outcome = outcome.value
-        self.ring.record(now, EventKind.ENDED, life.request, attempt, outcome.value)
-
-    def may_answer(self, life: RequestLifecycle, status: int, is_served: bool, why: str, now: int) -> int:
+        """Record the end of an attempt; `has_begun`: `may_send` had let it begin."""
+        lifecycle.attempts_not_run += has_begun and outcome.never_ran
+        lifecycle.last_outcome = outcome.value
+        self.ring.record(now, EventKind.ENDED, lifecycle.request, attempt, outcome.value)
+
+    def may_answer(
+        self, lifecycle: RequestLifecycle, status: int, is_served: bool, reason: str, now: int
+    ) -> int:
         """The status that a final answer may have; 0 if no answer may be given any more.
 
-        `is_served`: the answer is a host's answer to an attempt of this request. `why`: logged as the reason.
+        `is_served`: the answer is a host's answer to an attempt of this request. `reason`: why it is
+        given, for the log.
         """
-        if life.state in FINAL_STATES:
-            self._violated(Invariant.ANSWERED_ONCE, life, now, f"{status}, though {life.state.value}")
+        if lifecycle.state in FINAL_STATES:
+            self._violated(
+                Invariant.ANSWERED_ONCE, lifecycle, now, f"{status}, though {lifecycle.state.value}"
+            )
             return 0
         if status == 200 and not is_served:
-            self._violated(Invariant.ANSWER_OF_ITS_OWN, life, now, why)
+            self._violated(Invariant.ANSWER_OF_ITS_OWN, lifecycle, now, reason)
             status = 502
-        if status in REFUSALS and not self._may_refuse(life):
-            self._violated(Invariant.REFUSED_ONLY_UNRUN, life, now, f"{status}: {why}")
+        if status in REFUSALS and not self._may_refuse(lifecycle):
+            self._violated(Invariant.REFUSED_ONLY_UNRUN, lifecycle, now, f"{status}: {reason}")
             status = 502
-        if now > life.deadline + ANSWER_SLACK:
-            self._violated(Invariant.ANSWERED_IN_TIME, life, now, f"{now - life.deadline} late")
-        life.state = RequestState.ANSWERED
-        self.ring.record(now, EventKind.ANSWERED, life.request, 0, why)
+        if now > lifecycle.deadline + ANSWER_SLACK:
+            self._violated(Invariant.ANSWERED_IN_TIME, lifecycle, now, f"{now - lifecycle.deadline} late")
+        lifecycle.state = RequestState.ANSWERED
+        self.ring.record(now, EventKind.ANSWERED, lifecycle.request, 0, reason)
         return status
 
-    def _may_refuse(self, life: RequestLifecycle) -> bool:
-        request_class = life.request_class
-        if not life.may_have_run:
+    def _may_refuse(self, lifecycle: RequestLifecycle) -> bool:
+        request_class = lifecycle.request_class
+        if not lifecycle.may_have_run:
             return True
         if request_class is None or request_class.effect is Effect.AT_MOST_ONCE:
             return False
         return request_class.effect is Effect.IDEMPOTENT or request_class.scope is Scope.ALL
 
-    def client_left(self, life: RequestLifecycle, now: int) -> None:
-        """The client has left: no answer is owed any more."""
-        if life.state is not RequestState.ANSWERED:
-            life.state = RequestState.GONE
-        self.ring.record(now, EventKind.GONE, life.request, 0, "its client left")
+    def client_left(self, lifecycle: RequestLifecycle, now: int) -> None:
+        """Record that the client has left: no answer is owed any more."""
+        if lifecycle.state is not RequestState.ANSWERED:
+            lifecycle.state = RequestState.GONE
+        self.ring.record(now, EventKind.GONE, lifecycle.request, 0, "its client left")
 
     def connection_closed(self, request: int, is_owed: bool, reason: CloseReason, now: int) -> None:
-        """A client connection is closed.
+        """Record that a client connection is closed.
 
         `request`: the one in progress there, or `NO_REQUEST`. `is_owed`: that request, or one that is queued
         behind it, has no final answer yet.
@@ -234,11 +255,11 @@
         self.ring.record(now, kind, NO_REQUEST, 0, detail)
 
     def process_exiting(self, unanswered: int, now: int) -> None:
-        """The process ends while this many requests are owed an answer."""
+        """Check that the process ends while no request is owed an answer; `unanswered`: how many are."""
         if unanswered:
-            self.violations.add(Invariant.ANSWERED_AT_EXIT, now, NO_REQUEST, f"{unanswered} held")
+            self.violations.add(Invariant.ANSWERED_AT_EXIT, now, NO_REQUEST, f"{unanswered} unanswered")
 
-    def _violated(self, invariant: Invariant, life: RequestLifecycle, now: int, detail: str) -> bool:
+    def _violated(self, invariant: Invariant, lifecycle: RequestLifecycle, now: int, detail: str) -> bool:
         """Count a violation; False, for the guards that return it."""
-        self.violations.add(invariant, now, life.request, detail)
+        self.violations.add(invariant, now, lifecycle.request, detail)
         return False
--- a/whinrouter/learned_state.py
+++ b/whinrouter/learned_state.py
@@ -1,4 +1,4 @@
-"""What a balancer hands over to its successor in another process.
+"""The state that a balancer hands over to its successor in another process.
 
 `handover/messages.py` encodes it by the types of the fields. A compiled module does not keep all of these
 types at run time, so this module is not compiled.
@@ -25,7 +25,7 @@
 
 
 class BreakerState(NamedTuple):
-    """A breaker: the ages of its failures, the time until it is half-open (None: closed), its cooldown."""
+    """A breaker: ages of its failures, time until it is half-open (None: closed), its next cooldown."""
 
     failures: tuple[int, ...]
     half_open_in: int | None
@@ -33,10 +33,10 @@
 
 
 class LearnedServerState(NamedTuple):
-    """What a balancer has learned about a server since its start."""
+    """The state that a balancer has learned about a server since the server's start."""
 
     server_id: ServerId
-    age: int | None  # since its start
+    age: int | None  # since the start of the server
     limit: float
     latency_ratio: float
     latency_ratio_age: int | None
@@ -46,7 +46,7 @@
 
 
 class LearnedState(NamedTuple):
-    """What a balancer has learned; the tables are by class or kind of server, as in `Balancer`."""
+    """The state that a balancer has learned. The tables are by class or kind of server, as in `Balancer`."""
 
     servers: tuple[LearnedServerState, ...]
     unit_latencies: dict[str, float]
--- a/whinrouter/membership/json_stream.py
+++ b/whinrouter/membership/json_stream.py
@@ -8,9 +8,9 @@
     BETWEEN --a line that opens more than it closes--> INSIDE --the line that closes the last one--> BETWEEN
 
 A string never extends over the end of a line, and no layout has an empty line inside a document: either shows
-that the document broke off, as does a closing bracket without an opening one. This is an error at once, as
-the changes in the document would be missing from the list for good. Whether a document is valid JSON is left
-to its parser.
+that the document broke off, as does a closing bracket without an opening one. This raises an error at once,
+as the changes in the document would be missing from the list permanently. Whether a document is valid JSON is
+left to its parser.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
-        self._rest = b""  # the last line, which has not ended yet
+        self._partial_line = b""  # the last line, which has not ended yet
         self._lines: list[bytes] = []  # of the current document
         self._size = 0  # bytes of these lines
         self._depth = 0  # open brackets
@@ -36,8 +36,8 @@
 
         ValueError if a document broke off or is too large, after which nothing more may be fed.
         """
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if self._size + len(self._rest) > self._max_bytes:
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if self._size + len(self._partial_line) > self._max_bytes:
             raise ValueError("a list is too large, or has no end")
         for line in lines:
             yield from self._line(line.strip())
--- a/whinrouter/membership/retry_policy.py
+++ b/whinrouter/membership/retry_policy.py
@@ -3,9 +3,11 @@
 Theory of operation. A live watch sends a line every `HEARTBEAT_SECONDS`, an empty one if nothing changes. A
 watch that does not is broken, even if its connection is still open. The gateway counts as notified of what a
 silent watch misses `NOTIFICATION_DEADLINE_SECONDS` after it fell silent, which may be right after its last
-byte. So all of this has to fit in between:
+byte. All of this has to fit into that time:
 
-    silence timeout + backoff + connect timeout + time to the first line   (the last three twice, if need be)
+    silence timeout + backoff + connect timeout + time to the first line
+
+and, if one call fails, the last three a second time.
 
 There are two kinds of discovery service, which need opposite treatment. An agent on the gateway's own machine
 (lists are pushed) answers at once and costs nothing. Its watch is given up soon and asked for again soon,
@@ -17,8 +19,8 @@
 A service that all gateways share (lists are asked for) handles calls one after another. In a test with 40
 gateways each call took 0.125 s of it, and a call that had waited for 2 s was dropped, but still processed
 once its turn came. Once all gateways together make more calls than the service can handle, its queue stays
-longer than that limit and hardly a call succeeds, however many the service could handle: 22 to 31 of the 40
-gateways never had a list again. What such a service can handle is bounded at any scale: one call from every
+longer than that limit and hardly any call succeeds, whatever its capacity: 22 to 31 of the 40 gateways never
+received a list again. What such a service can handle is bounded at any scale: one call from every
 gateway takes it 2 to 8 s. So the spread of the calls need not grow with the number of gateways beyond that.
 The gateway counts as notified of a change 6 s after the service had it and could be reached, whichever calls
 had failed:
@@ -68,19 +70,20 @@
     start_spread: float = 0.0  # within which a process that has an old list makes its first call
 
     def draw_silence_timeout(self, random: Random) -> float:
-        """How long one watch may be silent after its first line."""
+        """Return for how many seconds one watch may be silent after its first line."""
         return random.uniform(*self.silence_timeout)
 
     def start_delay(self, random: Random) -> float:
-        """How long a process that has an old list waits before its first call."""
+        """Return how many seconds a process that has an old list waits before its first call."""
         return random.uniform(0.0, self.start_spread)
 
     def backoff(
         self, failures: int, is_queue_full: bool, random: Random, is_broken_off: bool = False
     ) -> float:
-        """How long to wait before the next call, after this many in a row that brought no line.
+        """Return the seconds to wait before the next call, after `failures` calls in a row without a line.
 
-        `is_queue_full`: the last one waited in a queue in vain. `is_broken_off`: its answer broke off.
+        `is_queue_full`: the last call waited in a queue until it failed. `is_broken_off`: its answer broke
+        off.
         """
         doubled: float = 2.0 ** min(failures, 16)
         if is_queue_full and self.queue_full_spread:
--- a/whinrouter/membership/zookeeper/jute.py
+++ b/whinrouter/membership/zookeeper/jute.py
@@ -1,8 +1,8 @@
 """Jute, the encoding of ZooKeeper's client protocol, and its frames (zookeeper.jute of Apache ZooKeeper 3.9).
 
 Numbers are big-endian; a buffer or string has its length before it, -1 for null; a frame is a length and as
-many bytes. Whatever arrives, decoding raises nothing but `JuteError` and holds no more than the bytes of one
-frame.
+many bytes. Whatever arrives, decoding raises nothing but `JuteError` and buffers no more than the bytes of
+one frame.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
         self._data = data
         self._position = 0
 
-    def _take(self, count: int) -> bytes:
+    def _read_bytes(self, count: int) -> bytes:
         end = self._position + count
         if count < 0 or end > len(self._data):
             raise JuteError("the record is too short")
@@ -87,19 +87,19 @@
         return len(self._data) - self._position
 
     def i32(self) -> int:
-        return int(_INT.unpack(self._take(4))[0])
+        return int(_INT.unpack(self._read_bytes(4))[0])
 
     def i64(self) -> int:
-        return int(_LONG.unpack(self._take(8))[0])
+        return int(_LONG.unpack(self._read_bytes(8))[0])
 
     def boolean(self) -> bool:
-        return self._take(1) != b"\0"
+        return self._read_bytes(1) != b"\0"
 
     def buffer(self) -> bytes | None:
         length = self.i32()
         if length < -1:
             raise JuteError("a buffer has a negative length")
-        return None if length == -1 else self._take(length)
+        return None if length == -1 else self._read_bytes(length)
 
     def string(self) -> str:
         """A string; a null one is returned as empty."""
--- a/whinrouter/membership/zookeeper/records.py
+++ b/whinrouter/membership/zookeeper/records.py
@@ -65,7 +65,7 @@
 
 
 class CreateMode(IntEnum):
-    """The flags with which a node is created."""
+    """The flags with which a node is created; they are combined by addition."""
 
     PERSISTENT = 0
     EPHEMERAL = 1
--- a/whinrouter/net/attempt.py
+++ b/whinrouter/net/attempt.py
@@ -71,8 +71,8 @@
         `may_begin` is called right before the first byte leaves, with the attempt, whether its host may be
         sent to, and whether the attempt had to wait for its connection. It returns the outcome with which the
         attempt ends instead of beginning, or None if the attempt may begin.
-        `on_streaming` is called with a successful answer whose body is streamed; without it such an answer is
-        of no use. A streaming attempt ends when the body does.
+        `on_streaming` is called with a successful answer whose body is streamed; the attempt then ends when
+        the body does. Without it, the attempt ends with the head of such an answer, whose body is not read.
         """
 
 
@@ -116,7 +116,7 @@
         self.host = host
         self.message = message
         self.expires_at = expires_at  # loop time
-        self.owner = owner  # the sender's own data: the request that the attempt belongs to
+        self.owner = owner  # set by the caller of `send`: the request that the attempt belongs to
         self.number = number  # the attempt's number within its request
         self.started_at = now  # loop time
         self._on_ended: EndedCallback | None = on_ended
@@ -141,12 +141,12 @@
         return self.connection is not None and not self.connection.is_quiet()
 
     def encode(self, now: float) -> bytes:
-        """The request as it is sent to the host, with the time that is left for it."""
-        left = max(0.0, self.expires_at - now)
-        # The client's time begins only at the end of its body, so a request whose body is still arriving gets
-        # all of it.
+        """Return the request as it is sent to the host, with the time that remains for it."""
+        remaining = max(0.0, self.expires_at - now)
+        # The client's timeout runs only from the end of its body, so a request whose body is still arriving
+        # is sent with the whole timeout.
         return serialize_request(
-            self.message, left if self.message.body_flow is None else self.message.client_timeout_seconds
+            self.message, remaining if self.message.body_flow is None else self.message.client_timeout_seconds
         )
 
     def end(self, outcome: Outcome, answer: Message | None = None) -> None:
@@ -158,7 +158,7 @@
             on_ended(self, outcome, answer)
 
     def stop(self, outcome: Outcome) -> None:
-        """Give the attempt up: end it with this outcome and close its connection, which tells the host."""
+        """End the attempt with this outcome and close its connection, by which the host notices."""
         if self._on_ended is None:
             return
         self.host.connecting.discard(self)
--- a/whinrouter/net/config.py
+++ b/whinrouter/net/config.py
@@ -20,8 +20,9 @@
 
 Address = tuple[str, int]
 
-# These are fixed for the life of the process, so their variables override the file at a reload, too.
-_FIXED = {
+# The values of these keys are fixed for the life of the process, so their variables override the file at a
+# reload, too.
+_FIXED_VARIABLES = {
     "name": "PROXY_NAME",
     "listen": "PROXY_LISTEN",
     "control": "PROXY_CONTROL",
@@ -40,10 +41,10 @@
     listen: Address
     discovery: Address
     seed: int
-    known: HostList
+    known: HostList  # hosts that are used until discovery sends a list
     settings: Settings
-    connect_time: float  # time limit for opening a connection to a host
-    idle_time: float  # idle timeout of the hosts
+    connect_timeout: float  # time limit for opening a connection to a host
+    idle_timeout: float  # idle timeout of the hosts
     sockets: int  # descriptors that the process may use
     retry_policy: RetryPolicy  # for the watch on discovery
     control: Address | None = None  # where operators' calls are accepted
@@ -52,18 +53,18 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration of a start; ConfigError if it is invalid."""
+    """Return the configuration to start with; raise ConfigError if it is missing or invalid."""
     # The environment overrides the file: an operator may set a variable for one start.
-    return _load(environment, {**_FIXED, "discovery": "PROXY_DISCOVERY"})
+    return _load(environment, {**_FIXED_VARIABLES, "discovery": "PROXY_DISCOVERY"})
 
 
 def reload(environment: Mapping[str, str], in_force: Config) -> Config:
-    """The configuration to continue with after a change of the file.
+    """Return the configuration to continue with after a change of the file.
 
     The environment is as old as the start, so the file's address of discovery is newer and counts.
     Raises ConfigError with all findings if the file lacks anything that the configuration in force has.
     """
-    return _load(environment, _FIXED, in_force)
+    return _load(environment, _FIXED_VARIABLES, in_force)
 
 
 def _load(
@@ -81,9 +82,9 @@
     if not isinstance(raw, dict):
         raise ConfigError("PROXY_CONFIG holds no object")
     raw |= {key: environment[name] for key, name in overrides.items() if environment.get(name)}
-    wrong = findings(raw, in_force.raw) if in_force is not None else []
-    if wrong:
-        raise ConfigError("; ".join(wrong))
+    problems = findings(raw, in_force.raw) if in_force is not None else []
+    if problems:
+        raise ConfigError("; ".join(problems))
     try:
         return _config(raw, inherited_descriptor(environment))
     except (ValueError, TypeError, KeyError, AttributeError) as error:
@@ -91,9 +92,9 @@
 
 
 def _config(raw: Mapping[str, Any], listener: int | None) -> Config:
-    setup = raw["settings"]
-    limits, permissions = raw.get("limits") or {}, setup.get("permissions") or {}
-    settings = wire.parse_settings(setup)
+    raw_settings = raw["settings"]
+    limits, permissions = raw.get("limits") or {}, raw_settings.get("permissions") or {}
+    settings = wire.parse_settings(raw_settings)
     return Config(
         name=str(raw.get("name") or ""),
         listen=parse_address(raw["listen"]),
@@ -101,28 +102,30 @@
         seed=int.from_bytes(blake2b(str(raw.get("seed")).encode(), digest_size=8).digest(), "big"),
         known=parse_list(raw.get("known") or {"members": []}),
         settings=settings,
-        connect_time=int(permissions.get("dialTimeout") or SECOND // 4) / SECOND,
-        idle_time=int(permissions.get("connIdle") or 15 * SECOND) / SECOND,
+        connect_timeout=int(permissions.get("dialTimeout") or SECOND // 4) / SECOND,
+        idle_timeout=int(permissions.get("connIdle") or 15 * SECOND) / SECOND,
         sockets=int(limits.get("sockets") or 1024),
-        retry_policy=_retry_policy(settings, setup.get("invariants") or {}),
+        retry_policy=_retry_policy(settings, raw_settings.get("invariants") or {}),
         control=parse_address(raw["control"]) if raw.get("control") else None,
         listener=listener,
         raw=raw,
     )
 
 
-def _retry_policy(settings: Settings, rules: Mapping[str, Any]) -> RetryPolicy:
+def _retry_policy(settings: Settings, raw_invariants: Mapping[str, Any]) -> RetryPolicy:
     """The policy for the discovery service: an agent on this machine, or one service for all gateways."""
     if not settings.must_subscribe:
         return LOCAL_AGENT_POLICY
-    return shared_service_policy(settings.balancers, int(rules.get("askEvery") or 10 * SECOND) / SECOND)
+    return shared_service_policy(
+        settings.balancers, int(raw_invariants.get("askEvery") or 10 * SECOND) / SECOND
+    )
 
 
 FIRST_ACTIVATION_DESCRIPTOR = 3  # SD_LISTEN_FDS_START of socket activation (sd_listen_fds(3))
 
 
 def inherited_descriptor(environment: Mapping[str, str]) -> int | None:
-    """The descriptor of a listening socket that the process inherited; None if there is none."""
+    """Return the descriptor of a listening socket that the process inherited; None if there is none."""
     if environment.get("PROXY_SOCKET_FD"):
         return int(environment["PROXY_SOCKET_FD"])
     is_for_us = environment.get("LISTEN_PID") == str(os.getpid())
--- a/whinrouter/net/connect.py
+++ b/whinrouter/net/connect.py
@@ -49,44 +49,44 @@
 class ConnectResult(Enum):
     """The result of an attempt to connect."""
 
-    UP = "up"
-    FAILED = "failed"  # refused, reset or timed out: the peer or the network failed
+    CONNECTED = "up"
+    FAILED = "failed"  # refused, reset or timed out, by a fault of the peer or of the network
     LOCAL_FAILURE = "local failure"  # this machine lacked a resource, which says nothing about the peer
 
 
 async def with_retries(
-    work: Callable[[], Awaitable[R]], pauses: Sequence[float], errors: Collection[int] = RESOURCE_ERRORS
+    operation: Callable[[], Awaitable[R]], pauses: Sequence[float], errors: Collection[int] = RESOURCE_ERRORS
 ) -> R:
-    """Return what `work` returns; when it fails with one of `errors`, call it again after each pause.
+    """Call `operation` and return its result; if it fails with one of `errors`, call it again after a pause.
 
-    Raises the OSError of the last call, or at once any other exception.
+    `pauses`: seconds before each retry. Raises the OSError of the last call, or at once any other exception.
     """
     for pause in pauses:
         try:
-            return await work()
+            return await operation()
         except OSError as error:
             if error.errno not in errors:
                 raise
             log.info("%s; trying again", error.strerror)
         await asyncio.sleep(pause)
-    return await work()
+    return await operation()
 
 
-async def open_connection(protocol: Callable[[], P], address: tuple[str, int]) -> P:
-    """Connect; a failure on this machine is retried a few times, milliseconds apart.
+async def open_connection(protocol_factory: Callable[[], P], address: tuple[str, int]) -> P:
+    """Connect and return the protocol; a failure on this machine is retried a few times, milliseconds apart.
 
-    Raises the OSError of the last try. There is no time limit: the caller sets one.
+    Raises the OSError of the last try. There is no time limit here: the caller sets one.
     """
 
     async def try_once() -> P:
         connected = await _connected_socket(address)
-        made = protocol()
+        connection = protocol_factory()
         try:
-            SocketTransport(connected, made)
+            SocketTransport(connected, connection)
         except OSError:
             connected.close()
             raise
-        return made
+        return connection
 
     return await with_retries(try_once, CONNECT_RETRY_SECONDS, LOCAL_ERRORS)
 
@@ -117,30 +117,33 @@
         with contextlib.suppress(OSError):
             socket.inet_pton(family, host)
             return [(family, (host, port))]
-    found = await asyncio.get_running_loop().getaddrinfo(host, port, type=socket.SOCK_STREAM)
-    return [(family, target) for family, _, _, _, target in found]
+    candidates = await asyncio.get_running_loop().getaddrinfo(host, port, type=socket.SOCK_STREAM)
+    return [(family, target) for family, _, _, _, target in candidates]
 
 
 async def connect(
-    protocol: Callable[[], P], address: tuple[str, int], seconds: float, on_connected: Callable[[P], None]
+    protocol_factory: Callable[[], P],
+    address: tuple[str, int],
+    seconds: float,
+    on_connected: Callable[[P], None],
 ) -> ConnectResult:
-    """Connect within `seconds` and call `on_connected`; the result says whether it worked."""
+    """Connect within `seconds` and call `on_connected`; return how it ended."""
     try:
         async with asyncio.timeout(seconds):
-            connection = await open_connection(protocol, address)
+            connection = await open_connection(protocol_factory, address)
     except TimeoutError:
         return ConnectResult.FAILED
     except OSError as error:
         return ConnectResult.LOCAL_FAILURE if error.errno in LOCAL_ERRORS else ConnectResult.FAILED
     on_connected(connection)
-    return ConnectResult.UP
+    return ConnectResult.CONNECTED
 
 
 class Listener:
     """A listening socket; each connection that it accepts gets a new protocol."""
 
-    def __init__(self, protocol: Callable[[], asyncio.BaseProtocol]) -> None:
-        self._protocol = protocol
+    def __init__(self, protocol_factory: Callable[[], asyncio.BaseProtocol]) -> None:
+        self._protocol_factory = protocol_factory
         self._acceptor: Acceptor | None = None
         self._socket: socket.socket | None = None
         self.is_shared = False  # other processes accept from the same socket
@@ -151,7 +154,7 @@
         return self._socket.fileno() if self._socket is not None else None
 
     def bind(self, host: str, port: int, inherited: int | None = None) -> None:
-        """Take the address; the system chooses the port if `port` is 0. OSError if the address is taken.
+        """Bind to an address; the system chooses the port if `port` is 0. OSError if the address is in use.
 
         A host with a slash is the path of a Unix socket, whose permissions follow the process's umask.
         `inherited`: the descriptor of a socket that listens already, and that the parent process holds too.
@@ -172,12 +175,12 @@
         """Accept connections at the bound address; return the port, 0 for a Unix socket."""
         listener = self._socket
         assert listener is not None
-        self._acceptor = Acceptor(listener, self._protocol, ACCEPT_BATCH)
+        self._acceptor = Acceptor(listener, self._protocol_factory, ACCEPT_BATCH)
         listener.listen(BACKLOG)
         return int(listener.getsockname()[1]) if listener.family != socket.AF_UNIX else 0
 
     async def accept_pending(self) -> None:
-        """Accept the queued connections: closing the listener would reset them, with the requests on them.
+        """Accept the queued connections: closing the listener would reset them and lose their requests.
 
         The queue of a shared socket is left to the other processes.
         """
@@ -193,7 +196,7 @@
             log.warning("connections still arrived faster than they were accepted")
 
     def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections, and close the listening socket."""
         listener, self._socket = self._socket, None
         acceptor, self._acceptor = self._acceptor, None
         if acceptor is not None:
@@ -203,7 +206,7 @@
 
 
 def _unix_socket(path: str) -> socket.socket:
-    """Listen on a path. The socket file of a dead process is removed; one that is served raises OSError."""
+    """Listen on a path. The socket file of a dead process is removed; OSError if a process listens there."""
     try:
         with socket.socket(socket.AF_UNIX) as probe:
             probe.connect(path)
--- a/whinrouter/net/discovery.py
+++ b/whinrouter/net/discovery.py
@@ -74,7 +74,7 @@
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._first_line_timeout, self._silence_timeout = first_line_timeout, silence_timeout
-        self.has_response = False  # a successful response has begun: the service's queue is behind the call
+        self.has_response = False  # a successful response has begun, so the call has left the service's queue
         self._has_line = False  # a whole list or an empty line has arrived
         self.ended: asyncio.Future[str] = self._loop.create_future()  # the reason why the watch ended
 
@@ -122,7 +122,7 @@
             self.ended.set_result(reason)
 
     def _set_timer(self, seconds: float) -> None:
-        """Limit the silence: it is the only sign of a service that is cut off, as TCP does not notice."""
+        """End the watch after this much silence, the only sign of a cut-off service: TCP does not notice."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_later(seconds, self.end, "the watch is silent")
@@ -137,10 +137,10 @@
         revision: int,
         on_list: Callable[[HostList], None],
         retry_policy: RetryPolicy,
-        known: bool = False,
+        has_known_hosts: bool = False,
     ) -> None:
-        """`revision`: that of the list in force. `known`: that list has hosts, so the first call may be
-        delayed.
+        """`revision`: that of the list in force. `has_known_hosts`: that list has hosts, so the first call
+        may be delayed.
 
         `on_list` is called with each list; an exception that it raises ends the watch, which is then retried.
         """
@@ -149,7 +149,7 @@
         self._on_list = on_list
         self.retry_policy = retry_policy  # applies from the next call on: a running watch keeps its timeouts
         self._random = Random()
-        self._has_list = known  # the latest watch has brought a list
+        self._has_list = has_known_hosts  # the latest watch has brought a list
         self._failures = 0  # calls in a row that brought no list
         self._task: asyncio.Task[None] | None = None
 
@@ -190,7 +190,7 @@
             try:
                 reason, is_queue_full, is_broken_off = await self._watch()
                 log.info("discovery: %s; asking again", reason)
-            except Exception:  # without a watch, draining hosts would never be noticed again
+            except Exception:  # without a watch, no draining host would ever be noticed again
                 log.exception("discovery: failed; asking again")
             self._failures = 0 if self._has_list else self._failures + 1
             # The backoff has jitter, so that gateways that lost discovery together do not all return at once.
@@ -202,7 +202,7 @@
         """Follow one watch to its end.
 
         Returns the reason for the end and, for a call that brought no list, whether it waited in the
-        service's queue without success, and whether its response had begun.
+        service's queue until it failed, and whether its response had begun.
         """
         host, port = self._address
         path = f"/discovery/hosts?watch=1&from={self._revision}"
@@ -226,8 +226,8 @@
         return reason, loop.time() - asked_at > QUEUED_SECONDS, False
 
     def _on_document(self, document: bytes) -> None:
-        # Raises on a malformed list, which ends the watch: the changes in it would be lost for good
-        # otherwise.
+        # Raises on a malformed list, which ends the watch: otherwise the changes in it would be missing from
+        # the list permanently.
         host_list = parse_list(orjson.loads(document))
         self._on_list(host_list)
         self._revision = host_list.revision
--- a/whinrouter/net/frontend.py
+++ b/whinrouter/net/frontend.py
@@ -67,8 +67,8 @@
 MAX_PIPELINED_REQUESTS = 4  # requests that a client may send ahead on one connection; most send none
 MAX_BUFFERED_BYTES = 4 * 1024 * 1024  # of all clients' requests that wait or are incomplete
 # The time for a request head, counted from the start of the connection or of the head: slow clients take 2 s.
-# Clients that open connections and send nothing, or never complete a request, are closed within 3 s. Behind
-# its head a body has the time that its bytes earn (`flow.py`).
+# Clients that open connections and send nothing, or never complete a request, are closed within 3 s. The
+# time for the body behind a head grows with the bytes that arrive (`RateFloor` in `flow.py`).
 RECEIVE_TIMEOUT_SECONDS = 2.4
 # The time for which a connection is kept open after an answer. Some clients send one request and never close,
 # and all clients together have only so many connections.
@@ -84,8 +84,9 @@
 # The range from which Retry-After is drawn, to spread refused clients: a few intervals of the overload
 # detection.
 RETRY_AFTER_SECONDS = (0.2, 0.6)
-# The time for which a client may keep sending after a rejection, until its bytes earn it more (`RateFloor`).
-# An immediate close would reset a client that is still sending, and the answer would be lost with it.
+# The time for which a client may keep sending after a rejection; it grows with the bytes that arrive
+# (`RateFloor`). An immediate close would reset a client that is still sending, and the answer would be lost
+# with it.
 LINGER_SECONDS = 0.5
 SWEEP_INTERVAL_SECONDS = 0.25
 # A stopping process forwards a request only if this much time remains: a margin for the answer's way, and as
@@ -125,7 +126,9 @@
         """
         self.gateway = gateway
         self.overload = (
-            selector.overload if selector else OverloadControl(kind.aim / SECOND for kind in settings.classes)
+            selector.overload
+            if selector
+            else OverloadControl(request_class.aim / SECOND for request_class in settings.classes)
         )
         self.selector = selector
         self.interpreter = RequestInterpreter(settings, routes)
@@ -182,7 +185,10 @@
         )
 
     def stop(self) -> None:
-        """Prepare for the end of the process: later requests are answered before the process is killed."""
+        """Prepare for the end of the process.
+
+        Requests that arrive or become complete from now on are answered before the process is killed.
+        """
         now = self._loop.time()
         self.presence.stop(now)
         last_answer_at = self.presence.answer_deadline(self.longest_deadline_seconds)
@@ -203,7 +209,7 @@
         """Use new settings; for a while, requests that were sent under the old ones may still arrive."""
         self.interpreter.apply_settings(settings, self._loop.time(), routes)
         self._sends_retry_after, self.max_connections = settings.sends_retry_after, max_connections
-        self.overload.set_aims(kind.aim / SECOND for kind in settings.classes)
+        self.overload.set_aims(request_class.aim / SECOND for request_class in settings.classes)
 
     @property
     def has_room(self) -> bool:
@@ -237,11 +243,11 @@
         input may be a whole request, which would be lost.
         """
         if len(self.connections) >= self.max_connections:
-            has_evicted = self._evict_connection(lambda other: other.is_idle)
-            if not (has_evicted or self._evict_connection(lambda other: other.is_evictable)):
+            has_evicted = self._evict_connection(lambda connection: connection.is_idle)
+            if not (has_evicted or self._evict_connection(lambda connection: connection.is_evictable)):
                 return False
         elif len(self.connections) >= IDLE_EVICTION_SHARE * self.max_connections:
-            self._evict_connection(lambda other: other.is_idle)
+            self._evict_connection(lambda connection: connection.is_idle)
         self.connections.add(client)
         return True
 
@@ -256,13 +262,15 @@
     def _evict_connection(self, is_evictable: Callable[[ClientConnection], bool]) -> bool:
         """Close the longest inactive connection that may be evicted; False if none of the first few may."""
         candidates = (
-            other for other in self.inactive_connections if is_evictable(other) and not other.unsent_bytes
+            connection
+            for connection in self.inactive_connections
+            if is_evictable(connection) and not connection.unsent_bytes
         )
-        for other in list(islice(candidates, MAX_EVICTION_CHECKS)):
-            if other.has_nothing_unread or other.is_lingering:
-                other.abort_connection(CloseReason.MAKES_ROOM)
+        for connection in list(islice(candidates, MAX_EVICTION_CHECKS)):
+            if connection.has_nothing_unread or connection.is_lingering:
+                connection.abort_connection(CloseReason.MAKES_ROOM)
                 return True
-            self.inactive_connections.move_to_end(other)
+            self.inactive_connections.move_to_end(connection)
         return False
 
     def _sweep(self) -> None:
@@ -323,7 +331,8 @@
         self._is_writing_paused = False  # the client does not read what was written to it
         self._descriptor = -1
         self._awaits_first_bytes = True  # nothing has been read yet
-        # The number of the message whose receive timeout runs; that of the first runs from the start.
+        # The number of the message whose receive timeout runs. The timeout of the first message starts with
+        # the connection.
         self._timed_message = 1
         self._body_message = 0  # the number of the message whose body has begun
         self._receive_pace = RateFloor(0.0)  # of that body, or of the discarded input
@@ -371,7 +380,7 @@
 
     @property
     def has_nothing_unread(self) -> bool:
-        """Whether there is no unread input that would still be read."""
+        """Whether the socket holds no unread input, or further input is ignored anyway."""
         return self._is_input_ignored or self._transport is None or not has_unread(self._transport)
 
     def _start_waiting(self, seconds: float) -> None:
@@ -478,7 +487,7 @@
         return True
 
     def _start_body(self, length: int | None) -> Flow:
-        """Return a new flow for a request body; `length`: in bytes, None if it is not declared."""
+        """Return a new flow for a request body. `length`: its bytes; None if the length is not declared."""
         if self._incoming_flow is not None:  # the previous body ended in the same read
             self._complete_body(self._incoming_flow)
         self._incoming_flow = Flow(self, length, self._loop.time(), GRACE_SECONDS, MIN_BODY_RATE)
@@ -698,7 +707,10 @@
         return not loop_is_late or body.is_overdue(now - self._frontend.longest_deadline_seconds)
 
     def abort_stalled(self) -> None:
-        """End a stalled stream: the client or the host does not send or read."""
+        """End a stalled stream.
+
+        The client does not send its body or read its answer, or the host does not send the answer.
+        """
         self._frontend.streaming_connections.discard(self)
         log.warning(
             "a body is not moved any more: to the client %s, from it %s",
@@ -733,7 +745,7 @@
                 self._receive_pace.credit(byte_count, now)
             else:
                 self._body_message, self._receive_pace = self._timed_message, RateFloor(now)
-            self.wait_deadline = self._receive_pace.due
+            self.wait_deadline = self._receive_pace.deadline
         if self._request_reader.expects_continue and self._transport is not None:
             self._request_reader.expects_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -773,7 +785,7 @@
                 self._transport.write_eof()
             self._start_waiting(LINGER_SECONDS)
             self._frontend.inactive_connections.move_to_end(self, last=False)  # the first to be evicted
-            self._receive_pace.due = self.wait_deadline
+            self._receive_pace.deadline = self.wait_deadline
 
     def _refuse(self, status: HTTPStatus) -> None:
         """Refuse a request; the rest of its body, if it is incomplete, is read and discarded."""
@@ -791,9 +803,9 @@
             self._extend_deadline(byte_count)
 
     def _extend_deadline(self, byte_count: int) -> None:
-        """Give a client whose input is discarded the time that these bytes earn."""
+        """Extend the deadline of a client whose input is discarded, by these bytes (`RateFloor`)."""
         self._receive_pace.credit(byte_count, self._loop.time())
-        self.wait_deadline = self._receive_pace.due
+        self.wait_deadline = self._receive_pace.deadline
 
     def _reject_excess_requests(self) -> None:
         """Reject a client that sends too many requests ahead, or more than may be buffered.
@@ -913,8 +925,8 @@
         """Read and discard the rest of a body whose request has been answered; then close.
 
         An immediate close would reset the connection of a client that is still sending, and the unread answer
-        would be lost with it. The client has the time that its bytes earn (`RateFloor`), until its body ends
-        or exceeds the limit; at the connection limit it is the first to be evicted.
+        would be lost with it. The client's time grows with the bytes that arrive (`RateFloor`), until its
+        body ends or exceeds the limit; at the connection limit its connection is the first to be evicted.
         """
         now = self._loop.time()
         self._is_lingering, self._receive_pace = True, RateFloor(now)
@@ -1005,7 +1017,7 @@
             )
 
     def _record_close(self, reason: CloseReason) -> None:
-        """Report a close to the guards, before the state of unanswered requests is cleared."""
+        """Report a close to the guards; must run before the state of unanswered requests is cleared."""
         gateway = self._frontend.gateway
         has_unanswered = self._is_busy or bool(self._queued_requests)
         gateway.guards.connection_closed(self._request_id or 0, has_unanswered, reason, gateway.clock.now())
@@ -1038,8 +1050,8 @@
     def eof_received(self) -> None:
         """Drop the client's requests, as it has left.
 
-        The transport closes after this, but only once the unsent output has been sent; `resume_writing` would
-        start the next queued request in the meantime.
+        The transport closes after this, but only once the unsent output has been sent. In the meantime
+        `resume_writing` would start the next queued request, so the queue is cleared.
         """
         self._record_close(CloseReason.CLIENT_LEFT)
         self._stop_input()
--- a/whinrouter/net/gateway.py
+++ b/whinrouter/net/gateway.py
@@ -80,7 +80,7 @@
     client_request_id: str  # the X-Request-Id of the request
     class_name: str  # empty: the class is unknown to the balancer
     client_timeout: int  # microseconds that the client waits, counted from the end of the body
-    server: ServerId
+    server: ServerId  # the host of the attempt in flight
 
 
 class ClientRequest(NamedTuple):
@@ -89,7 +89,7 @@
     message: Message
     class_name: str
     timeout: int  # microseconds
-    cost: int = 0
+    cost: int = 0  # microseconds, as hinted by the client; 0: no hint
     key: str | None = None
     is_retry: bool = False
     tenant: str = ""
@@ -158,6 +158,7 @@
     ORIGIN = 1 << 50  # about 35 years: more than any span that is subtracted from a moment
 
     def now(self) -> int:
+        """Return the current moment in microseconds."""
         return self.ORIGIN + time.monotonic_ns() // 1000
 
 
@@ -182,14 +183,14 @@
 
     @property
     def unanswered_count(self) -> int:
-        """The number of requests that have not been answered."""
+        """The number of requests that have not been answered and whose clients have not left."""
         return sum(pending.send_answer is not None for pending in self._pending.values())
 
     def apply_settings(self, settings: Settings, attempt_time: int = 0) -> None:
         """Use new settings here, in the balancer and in the guards."""
         self._attempt_time = attempt_time
         self._balancer.update_settings(settings)
-        self.guards.retune(settings)
+        self.guards.update_settings(settings)
         self.record_event(EventKind.RELOADED, "settings")
 
     def record_event(self, kind: EventKind, detail: str) -> None:
@@ -197,7 +198,10 @@
         self.guards.process_event(kind, detail, self.clock.now())
 
     def export_learned_state(self, now: int) -> LearnedState:
-        """Return the state from which the balancer of a replacing process continues, in spans from now."""
+        """Return the state from which the balancer of a replacing process continues.
+
+        Moments in it are given as spans relative to `now`.
+        """
         return self._balancer.export_state(now)
 
     def restore_learned_state(self, learned_state: LearnedState, load_share: float, now: int) -> None:
@@ -338,7 +342,7 @@
         return request_id
 
     def limit_answer_time(self, max_seconds: float) -> None:
-        """Answer within this time, as the process will end: new requests and those with incomplete bodies."""
+        """Answer new requests, and those with incomplete bodies, within this time, as the process ends."""
         now = self.clock.now()
         self._final_answer_time = now + round(max_seconds * SECOND)
         for pending in list(self._pending.values()):
@@ -451,7 +455,7 @@
             attempt.timer = self._timers.call_later(delay / SECOND, self._fire_timer, attempt, event, True)
 
     def _fire_timer(self, attempt: Attempt, event: TimerFired, is_first_check: bool) -> None:
-        """Tell the balancer that an attempt is still in flight, once its pending input has been read."""
+        """Report a timer to the balancer: its attempt is still in flight, and unread input was read first."""
         if is_first_check and attempt.has_unread:
             attempt.timer = self._timers.call_later(0, self._fire_timer, attempt, event, False)
         else:
@@ -630,7 +634,7 @@
             self._pending.pop(pending.request_id, None)
 
     def _on_deadline(self, pending: _PendingRequest) -> None:
-        """The deadline has passed: time out the attempts in flight; the balancer then answers."""
+        """Time out the attempts in flight, as the deadline has passed; the balancer then answers."""
         remaining = pending.lifecycle.deadline - self.clock.now()
         if remaining > 0:  # the loop's clock is coarser; the balancer must see that the deadline has passed
             pending.deadline_timer = self._timers.call_later(remaining / SECOND, self._on_deadline, pending)
@@ -648,7 +652,7 @@
         self._fail_request(pending.request_id, 504)  # in case the balancer has not answered
 
     def _fail_request(self, request_id: RequestId, status: int) -> None:
-        """Answer a request that the balancer did not answer, as after a fault."""
+        """Answer a request that the balancer did not answer; a fault must not leave it unanswered."""
         pending = self._pending.get(request_id)
         if pending is None or pending.send_answer is None:
             return
--- a/whinrouter/net/hostfile.py
+++ b/whinrouter/net/hostfile.py
@@ -43,7 +43,7 @@
         self._path, self._parse, self._on_list = path, parse, on_list
         self._version: tuple[int, ...] | None = None  # of the file when it was last read
         self._revision = 0
-        self._last: list[Address] = []
+        self._last_addresses: list[Address] = []
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -57,7 +57,7 @@
 
     @property
     def source(self) -> str:
-        """No service assigns revisions here."""
+        """Empty, as no service assigns the revisions of these lists."""
         return ""
 
     def resume(self, source: str, revision: int) -> None:
@@ -85,14 +85,14 @@
             data = file.read(MAX_FILE_BYTES + 1)
         if len(data) > MAX_FILE_BYTES:
             raise ValueError(f"{self._path} is larger than {MAX_FILE_BYTES} bytes")
-        addresses = self._addresses(data.decode())
+        addresses = self._parse_lines(data.decode())
         if not addresses:
             raise ValueError(f"{self._path} names no host")
-        if addresses != self._last:
-            self._last = addresses
+        if addresses != self._last_addresses:
+            self._last_addresses = addresses
             self._revision += 1
             self._on_list(whole_list(addresses, self._revision))
 
-    def _addresses(self, text: str) -> list[Address]:
+    def _parse_lines(self, text: str) -> list[Address]:
         lines = (line.partition("#")[0].strip() for line in text.splitlines())
         return sorted({self._parse(line) for line in lines if line})
--- a/whinrouter/net/hosts.py
+++ b/whinrouter/net/hosts.py
@@ -26,5 +26,8 @@
 
 
 def hashed_server_id(host: str) -> ServerId:
-    """The number of a host in the decision module: a hash, which is the same in every gateway and process."""
+    """Return the number of a host in the decision module.
+
+    It is a hash, so that it is the same in every gateway and after a restart.
+    """
     return int.from_bytes(blake2b(host.encode(), digest_size=8).digest(), "big")
--- a/whinrouter/net/http.py
+++ b/whinrouter/net/http.py
@@ -63,7 +63,7 @@
 
 
 class BadMessageError(Exception):
-    """The input is not an acceptable message; `status` is the answer to its sender."""
+    """The input is not an acceptable message; `status` is the HTTP status to answer its sender with."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -89,8 +89,8 @@
 
     def get(self, name: bytes) -> str | None:
         """Return the first value of a header; None if there is none."""
-        for other, value in self.headers:
-            if other == name:
+        for header_name, value in self.headers:
+            if header_name == name:
                 return value.decode("latin-1").strip()
         return None
 
@@ -99,8 +99,8 @@
     """Reads the bytes of one connection and emits messages of limited size.
 
     A message is emitted when it is complete or, if its body is larger than `MAX_BUFFERED_BODY_BYTES`, with
-    the start of its body and a `Flow` into which the rest is put. `make_flow` makes the flow for a body of
-    the given length; None: the reader rejects such messages.
+    the start of its body and a `Flow` into which the rest is put. `make_flow` returns the flow for a body of
+    the given length, None if the length is not declared. A reader without `make_flow` rejects such messages.
     """
 
     __deletable__ = ("_parser",)  # `close` deletes it, which a compiled class has to declare
@@ -155,7 +155,7 @@
         return self._messages
 
     def finish(self) -> list[Message]:
-        """Note the end of the connection; return the message that ends with it, if there is one."""
+        """Handle the end of the connection; return the message whose body ends with it, if there is one."""
         self._messages = []
         if self._ends_with_connection and self.has_begun and not self._is_in_head:
             self.on_message_complete()
@@ -207,7 +207,7 @@
 
     def on_headers_complete(self) -> None:
         self._is_in_head = False
-        # The same read may hold the end of another message, which reset the byte count.
+        # The same read may hold the end of the previous message, which reset the byte count.
         if max(self.pending_bytes, self._read_bytes) > MAX_HEAD_BYTES and self._head_size() > MAX_HEAD_BYTES:
             raise BadMessageError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         version = self._parser.get_http_version()
@@ -315,8 +315,8 @@
     """
     if not framing_headers:
         return None
-    (name, value), *others = framing_headers
-    if others or (value != b"chunked" if name == b"transfer-encoding" else not value.isdigit()):
+    (name, value), *extra_headers = framing_headers
+    if extra_headers or (value != b"chunked" if name == b"transfer-encoding" else not value.isdigit()):
         raise BadMessageError(HTTPStatus.BAD_REQUEST, "the body length is declared ambiguously")
     if name != b"content-length":
         return None
@@ -482,7 +482,7 @@
         return forwarded
     for name, value in headers:
         if name == b"connection":
-            listed = {other.strip().lower() for other in value.split(b",")} - _END_TO_END_HEADERS
+            listed = {listed_name.strip().lower() for listed_name in value.split(b",")} - _END_TO_END_HEADERS
             forwarded = [header for header in forwarded if header[0] not in listed]
     return forwarded
 
--- a/whinrouter/net/interpreter.py
+++ b/whinrouter/net/interpreter.py
@@ -1,6 +1,6 @@
 """Interprets a client's request: its class, id, deadline and hints. No I/O.
 
-A request that can't be served raises `BadMessageError`, whose status is the answer to it.
+An invalid request raises `BadMessageError`, whose status is the answer to it.
 """
 
 from __future__ import annotations
@@ -44,12 +44,18 @@
 
     @property
     def longest_deadline(self) -> int:
-        """The longest deadline, in microseconds, of a class of the current and the previous settings."""
+        """The time in microseconds within which every accepted request is over.
+
+        It is the longest deadline of a class in the current and the previous settings.
+        """
         previous = [request_class for request_class, _ in self._previous_classes.values()]
         return max(request_class.deadline for request_class in [*self._classes.values(), *previous])
 
     def apply_settings(self, settings: Settings, now: float, routes: Routes | None = None) -> None:
-        """Use new settings; requests that were sent under the old ones may still arrive. `now`: seconds."""
+        """Use new settings; requests that were sent under the old ones are interpreted by them for a while.
+
+        `now`: loop time, in seconds.
+        """
         new_classes = {request_class.name.encode(): request_class for request_class in settings.classes}
         valid_until = now + max(request_class.deadline for request_class in self._classes.values()) / SECOND
         self._previous_classes = {
@@ -60,7 +66,7 @@
         self._classes, self._routes = new_classes, routes
 
     def interpret(self, message: Message, now: float) -> ClientRequest:
-        """Return the interpreted request; raise BadMessageError if it can't be served. `now`: seconds."""
+        """Return the interpreted request; raise BadMessageError if it is invalid. `now`: loop time."""
         headers = _recognized_headers(message)
         if self._routes is not None and b"x-request-id" not in headers:
             headers[b"x-request-id"] = os.urandom(GENERATED_ID_BYTES).hex().encode()
@@ -114,11 +120,11 @@
 def _route_class(routes: Routes, message: Message, header_class: bytes | None) -> RequestClass:
     """Return the class to which the routes map the path of a request."""
     route = routes.find(message.target)
-    if route is None or (header_class is not None and header_class != route.kind.name.encode()):
+    if route is None or (header_class is not None and header_class != route.request_class.name.encode()):
         raise BadMessageError(HTTPStatus.BAD_REQUEST, "the path matches no class")
     if message.method not in route.methods:
         raise BadMessageError(HTTPStatus.METHOD_NOT_ALLOWED, "the class requires another method")
-    return route.kind
+    return route.request_class
 
 
 def _recognized_headers(message: Message) -> dict[bytes, bytes]:
--- a/whinrouter/net/routes.py
+++ b/whinrouter/net/routes.py
@@ -1,9 +1,9 @@
 """The class of a request by its path. No I/O.
 
-The route with the longest prefix of whole path segments counts. Hosts interpret some paths differently
-(escapes, dot segments, repeated slashes): a host that reads a path in another way than the gateway would run
-the request as another class than the one by which it was sent. A path whose interpretations differ in class
-is therefore refused.
+The route with the longest matching prefix of whole path segments applies. Hosts interpret some paths
+differently (escapes, dot segments, repeated slashes): a host that reads a path in another way than the
+gateway would run the request as another class than the one by which it was sent. A path whose interpretations
+differ in class is therefore refused.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 from whinrouter.interface import RequestClass
 
-_AMBIGUOUS = (b"%", b"//", b"/.", b"\\", b";")
+_AMBIGUOUS_MARKS = (b"%", b"//", b"/.", b"\\", b";")
 
 
 class Route(NamedTuple):
     """A class with the path prefix and the methods that lead to it."""
 
     prefix: bytes  # begins with a slash, and ends with one only if it is just a slash
-    kind: RequestClass
+    request_class: RequestClass
     methods: frozenset[bytes]
 
 
 class Routes:
-    """All routes of a gateway."""
+    """The routes of a gateway, looked up by the path of a request."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._routes = {route.prefix: route for route in routes}
@@ -38,14 +38,14 @@
         if not target.startswith(b"/"):  # the absolute form (RFC 9112, 3.2.2) is for proxies
             return None
         path = target.partition(b"?")[0].partition(b"#")[0]
-        found = self._longest(path)
-        if any(mark in path for mark in _AMBIGUOUS) and any(
-            self._longest(reading) is not found for reading in _interpretations(path)
+        found = self._longest_match(path)
+        if any(mark in path for mark in _AMBIGUOUS_MARKS) and any(
+            self._longest_match(interpretation) is not found for interpretation in _interpretations(path)
         ):
             return None
         return found
 
-    def _longest(self, path: bytes) -> Route | None:
+    def _longest_match(self, path: bytes) -> Route | None:
         while path not in self._routes:
             path, slash, _ = path.rpartition(b"/")
             if not slash:
@@ -55,11 +55,15 @@
 
 def _interpretations(path: bytes) -> list[bytes]:
     """The other interpretations of a path that hosts are known to use."""
-    plain = path.replace(b"\\", b"/")
+    slashed = path.replace(b"\\", b"/")
     # Some hosts ignore the parameters of a path segment (RFC 3986, 3.3).
-    bare = b"/".join(segment.partition(b";")[0] for segment in plain.split(b"/"))
-    readings = [plain, bare]
+    without_parameters = b"/".join(segment.partition(b";")[0] for segment in slashed.split(b"/"))
+    interpretations = [slashed, without_parameters]
     for _ in range(2):  # a host behind another host decodes escaped escapes a second time
-        readings += [unquote_to_bytes(reading) for reading in readings]
-    single = [re.sub(b"/+", b"/", reading) for reading in readings]
-    return [*readings, *single, *(posixpath.normpath(reading) for reading in single)]
+        interpretations += [unquote_to_bytes(interpretation) for interpretation in interpretations]
+    collapsed = [re.sub(b"/+", b"/", interpretation) for interpretation in interpretations]
+    return [
+        *interpretations,
+        *collapsed,
+        *(posixpath.normpath(interpretation) for interpretation in collapsed),
+    ]
--- a/whinrouter/net/timer_wheel.py
+++ b/whinrouter/net/timer_wheel.py
@@ -16,9 +16,9 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds; shorter than the turns of a busy loop vary, and far below `DEADLINE_MARGIN_MICROSECONDS`
+# Less than the variation between the turns of a busy loop, and far below `DEADLINE_MARGIN_MICROSECONDS`
 # (gateway.py).
-TICK = 0.002
+TICK_SECONDS = 0.002
 
 
 class Timer:
@@ -41,44 +41,46 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._ticks: dict[int, list[Timer]] = {}
-        self._order: list[int] = []  # a heap of the ticks that have timers
-        self._armed: asyncio.TimerHandle | None = None  # the loop's timer for the earliest tick
+        self._tick_heap: list[int] = []  # the ticks that have timers
+        self._loop_timer: asyncio.TimerHandle | None = None  # the loop's timer for the earliest tick
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
-        """Call `callback` after `delay` seconds."""
+        """Call `callback` after `delay` seconds; return the timer, by which the call can be cancelled."""
         timer = Timer(callback, args)
-        tick = int((self._loop.time() + delay) / TICK) + 1
+        tick = int((self._loop.time() + delay) / TICK_SECONDS) + 1
         timers = self._ticks.get(tick)
         if timers is not None:
             timers.append(timer)
             return timer
         self._ticks[tick] = [timer]
-        heappush(self._order, tick)
-        if self._order[0] == tick:
+        heappush(self._tick_heap, tick)
+        if self._tick_heap[0] == tick:
             self._arm()
         return timer
 
     @property
     def is_armed(self) -> bool:
         """Whether the loop's timer is set."""
-        return self._armed is not None
+        return self._loop_timer is not None
 
     def _arm(self) -> None:
-        if self._armed is not None:
-            self._armed.cancel()
-        self._armed = self._loop.call_at(self._order[0] * TICK, self._fire_due) if self._order else None
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer = (
+            self._loop.call_at(self._tick_heap[0] * TICK_SECONDS, self._fire_due) if self._tick_heap else None
+        )
 
     def _fire_due(self) -> None:
-        self._armed = None
-        now = self._loop.time() + TICK / 2  # the loop wakes up early by up to its clock's resolution
-        while self._order and self._order[0] * TICK <= now:
-            for timer in self._ticks.pop(heappop(self._order)):
+        self._loop_timer = None
+        now = self._loop.time() + TICK_SECONDS / 2  # the loop wakes up early by up to its clock's resolution
+        while self._tick_heap and self._tick_heap[0] * TICK_SECONDS <= now:
+            for timer in self._ticks.pop(heappop(self._tick_heap)):
                 if timer.call is not None:
                     try:
                         timer.call(*timer.args)
                     except Exception:  # as in the loop, a failing callback must not stop the next one
                         log.exception("a timer's callback failed")
-        # Read through a property: the compiler assumes that the field is still None whatever the callbacks
-        # have set, and raised here when one of them had set the next timer.
+        # Read through a property: compiled code assumes that the field is still None, whatever the callbacks
+        # have set, and raised an error here when one of them had set the next timer.
         if not self.is_armed:
             self._arm()
--- a/whinrouter/net/upstream.py
+++ b/whinrouter/net/upstream.py
@@ -8,8 +8,8 @@
     CONNECTING --failed--> closed              BUSY --broken, cancelled, or not reusable--> closed
     IDLE --idle for too long, stray bytes, host drains or is gone--> closed
 
-Each attempt ends exactly once, with one of the outcomes of `Outcome`. Which one tells whether the host may
-have run the request: it can't have if the connection broke before the last byte of the request had left.
+Each attempt ends exactly once, with an `Outcome`, which shows whether the host may have run the request: it
+can't have if the connection broke before the last byte of the request had left.
 """
 
 from __future__ import annotations
@@ -114,10 +114,10 @@
         transport.write(attempt.encode(now))
         if transport.is_closing():  # the write itself failed, so not one byte has left
             self.is_fully_written = False
-        rest = attempt.message.body_flow
-        if rest is not None:
-            self.is_fully_written, self._body = False, rest
-            rest.attach(self, now)
+        body_flow = attempt.message.body_flow
+        if body_flow is not None:
+            self.is_fully_written, self._body = False, body_flow
+            body_flow.attach(self, now)
 
     def write_body(self, data: bytes) -> None:
         """Send a piece of the request body."""
@@ -125,7 +125,7 @@
             self._transport.write(data if self._body.length is not None else encode_chunk(data))
 
     def finish_body(self) -> None:
-        """The request body is whole; the host can have all of it once the last byte has left."""
+        """End the request body, which is whole; the host can have all of it once the last byte has left."""
         body, self._body = self._body, None
         transport = self._transport
         if transport is None or body is None or transport.is_closing():
@@ -136,7 +136,7 @@
             transport.write(LAST_CHUNK)
 
     def abort_body(self) -> None:
-        """The request body broke off: the client has left, or has sent a malformed body."""
+        """Cancel the attempt: its request body broke off, as the client left or sent a malformed body."""
         self._body = None
         if self._attempt is not None:
             self._attempt.stop(Outcome.CANCELLED)
@@ -160,19 +160,20 @@
         return Flow(self, length, self._pool.now(), STALL_SECONDS, 0.0)
 
     def pause_reading(self) -> None:
-        """Stop reading the answer, as its client accepts no more for now."""
+        """Stop reading the answer, as its client accepts no more data for now."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read the answer again."""
+        """Resume reading the answer."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     def remainder(self) -> Remainder | None:
         """The part of the streamed answer that has not been read yet; None if it is not known.
 
-        It is also None while the request body is still being sent.
+        It is also None while the request body is still being sent. A connection that another process takes
+        over is closed behind this answer.
         """
         attempt = self._attempt
         is_passed_on = attempt is not None and attempt.is_streaming and self.is_usable
@@ -188,7 +189,7 @@
         return self._transport.freeze() if isinstance(self._transport, SocketTransport) else b""
 
     def thaw(self) -> None:
-        """Read and write again."""
+        """Resume reading and writing after `freeze`."""
         if isinstance(self._transport, SocketTransport):
             self._transport.thaw()
 
@@ -215,7 +216,7 @@
             body.sink_full(self._attempt_started_at)
 
     def cancel_reading(self) -> None:
-        """The client has left, or the answer is not wanted: end the attempt."""
+        """Cancel the attempt, as the client has left or the answer is not wanted."""
         if self._attempt is not None:
             self._attempt.stop(Outcome.CANCELLED)
         else:
@@ -317,9 +318,9 @@
         attempt, self._attempt = self._attempt, None
         was_fully_written = self.is_fully_written
         self.drop()
-        rest = self._response_reader.body_flow
-        if rest is not None:
-            rest.fail()
+        answer_flow = self._response_reader.body_flow
+        if answer_flow is not None:
+            answer_flow.fail()
         if attempt is not None:
             attempt.connection = None
             # While request bytes are still here the host cannot have started; after the last one it may have.
@@ -351,33 +352,33 @@
 
     def __init__(
         self,
-        connect_time: float,
-        idle_time: float,
-        limit: int,
+        connect_timeout: float,
+        idle_timeout: float,
+        max_connections: int,
         unread_seconds_of: Callable[[asyncio.Transport], float] = seconds_since_received,
     ) -> None:
-        """Times are in seconds, `limit` is a number of connections.
+        """Times are in seconds; `idle_timeout` is that of the hosts. `max_connections`: to all hosts.
 
-        `idle_time`: the idle timeout of the hosts. `unread_seconds_of` returns for how many seconds the data
-        that was just read from a transport had waited unread.
+        `unread_seconds_of` returns for how many seconds the data that was just read from a transport had
+        waited unread.
         """
-        self._connect_time = connect_time
+        self._connect_timeout = connect_timeout
         self.unread_seconds_of = unread_seconds_of
-        self.idle_time = max(idle_time / 2, idle_time - IDLE_MARGIN_SECONDS)
-        self.limit = limit
+        self.max_idle_seconds = max(idle_timeout / 2, idle_timeout - IDLE_MARGIN_SECONDS)
+        self.max_connections = max_connections
         self._connecting = 0  # connections that are being opened
         self.connections = 0  # established connections, idle or busy
         self._hosts: dict[ServerId, _HostPool] = {}
         self._loop = asyncio.get_running_loop()
         self.now = self._loop.time
-        self._sweep_seconds = min(SWEEP_SECONDS, self.idle_time / 4)
+        self._sweep_seconds = min(SWEEP_SECONDS, self.max_idle_seconds / 4)
         self._loop.call_later(self._sweep_seconds, self._sweep)
 
-    def retune(self, connect_time: float, idle_time: float, limit: int) -> None:
-        """Apply new limits from now on; the parameters are those of the constructor."""
-        self._connect_time, self.limit = connect_time, limit
-        self.idle_time = max(idle_time / 2, idle_time - IDLE_MARGIN_SECONDS)
-        self._sweep_seconds = min(SWEEP_SECONDS, self.idle_time / 4)
+    def set_limits(self, connect_timeout: float, idle_timeout: float, max_connections: int) -> None:
+        """Apply new time limits and a new connection limit; the parameters are those of the constructor."""
+        self._connect_timeout, self.max_connections = connect_timeout, max_connections
+        self.max_idle_seconds = max(idle_timeout / 2, idle_timeout - IDLE_MARGIN_SECONDS)
+        self._sweep_seconds = min(SWEEP_SECONDS, self.max_idle_seconds / 4)
 
     @property
     def descriptors_in_use(self) -> int:
@@ -417,7 +418,7 @@
 
     def _sweep(self) -> None:
         """Close connections that were idle for too long; in each pool the one idle for longest is first."""
-        oldest = self.now() - self.idle_time
+        oldest = self.now() - self.max_idle_seconds
         for host in self._hosts.values():
             while host.idle and host.idle[0].idle_since <= oldest:
                 host.idle[0].drop()
@@ -434,7 +435,10 @@
         on_streaming: StreamingCallback | None = None,
         may_begin: MayBeginCheck | None = None,
     ) -> Attempt | None:
-        """Start an attempt; None if the host may not be sent to. The attempt may end before this returns."""
+        """Start an attempt, as `AttemptSender.send` describes it; return None if the host may not be sent to.
+
+        The attempt may end before this returns.
+        """
         host = self._hosts.get(server)
         if host is None:
             return None
@@ -442,10 +446,10 @@
         attempt = Attempt(host, message, expires_at, on_ended, owner, number, now, on_streaming, may_begin)
         while (connection := host.take_idle(now)) is not None:
             if connection.is_quiet():
-                self._begin(host, attempt, connection, waited=False)
+                self._begin_attempt(host, attempt, connection, had_to_wait=False)
                 return attempt
             connection.drop()
-        if self.descriptors_in_use >= self.limit and not self._make_room():
+        if self.descriptors_in_use >= self.max_connections and not self._make_room():
             log.warning("no descriptor is left for another connection to a host")
             attempt.end(Outcome.LOCAL_FAILURE)
             return attempt
@@ -453,7 +457,7 @@
         host.connecting.add(attempt)
         on_connected = partial(self._on_connected, host, attempt)
         connecting = connect(
-            lambda: HostConnection(self, host), host.member.address, self._connect_time, on_connected
+            lambda: HostConnection(self, host), host.member.address, self._connect_timeout, on_connected
         )
         attempt.task = self._loop.create_task(connecting)
         attempt.task.add_done_callback(partial(self._on_connect_done, host, attempt))
@@ -482,15 +486,17 @@
 
     def _on_connected(self, host: _HostPool, attempt: Attempt, connection: HostConnection) -> None:
         host.connecting.discard(attempt)
-        self._begin(host, attempt, connection, waited=True)
+        self._begin_attempt(host, attempt, connection, had_to_wait=True)
 
-    def _begin(self, host: _HostPool, attempt: Attempt, connection: HostConnection, waited: bool) -> None:
-        """Send an attempt over a connection if it may begin. All attempts pass through here.
+    def _begin_attempt(
+        self, host: _HostPool, attempt: Attempt, connection: HostConnection, had_to_wait: bool
+    ) -> None:
+        """Send an attempt over a connection if it may begin. Each attempt passes through this method.
 
-        `waited`: the attempt had to wait for its connection.
+        `had_to_wait`: the attempt waited for its connection to open.
         """
         if attempt.may_begin is not None and not attempt.is_over:
-            refusal = attempt.may_begin(attempt, host.is_ready, waited)
+            refusal = attempt.may_begin(attempt, host.is_ready, had_to_wait)
             if refusal is not None:
                 attempt.stop(refusal)
         if attempt.is_over:
--- a/whinrouter/operations/__init__.py
+++ b/whinrouter/operations/__init__.py
@@ -1,1 +1,1 @@
-"""State that operators change at run time: hosts taken out, a drain, reloaded settings. No I/O."""
+"""State that operators change at run time: hosts out, a drain of the gateway, reloaded settings. No I/O."""
--- a/whinrouter/operations/controller.py
+++ b/whinrouter/operations/controller.py
@@ -3,7 +3,7 @@
 Each process has one `OperationsController`, which holds the state of maintenance and of presence. It passes
 host lists from their source to the driver, so that a host that is out stays out whatever is listed. While two
 processes are one gateway (an upgrade), a call at one of them is sent to the other, which carries it out
-without sending it back. The controller does no I/O: it is given a clock and functions to call.
+without sending it back. The controller does no I/O: it is given clocks and functions to call.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 @dataclass(slots=True)
 class OperationsController:
-    """The operators' view of one process."""
+    """The state that operators change in one process, and the calls that change it."""
 
     now: Callable[[], int]  # microseconds of the decision module's clock
     loop_time: Callable[[], float]  # seconds of the event loop's clock, for `presence`
     deliver: Callable[[HostList, bool], None]  # passes a list to the driver; True: it is stale
     presence: Presence
     maintenance: Maintenance = field(default_factory=Maintenance)
-    starts: StartTimes = field(default_factory=StartTimes)
+    start_times: StartTimes = field(default_factory=StartTimes)
     share_call: Callable[[str, str], None] = lambda name, argument: None  # sends a call to the other process
     share_list: Callable[[HostList], None] = lambda host_list: None  # sends a list to the other process
     violation_summary: Callable[[], str] = lambda: "none"  # the violated invariants, with their counts
-    revision: int = 0
+    revision: int = 0  # of the latest list
     members: dict[ServerId, Member] = field(default_factory=dict)  # the listed hosts, as discovery has them
 
     def register_calls(self, calls: CallRegistry, is_ready: Callable[[], bool]) -> None:
@@ -53,12 +53,12 @@
         return f"{self.presence.stage.value} hosts={len(self.members)} out={out_count}"
 
     def execute(self, name: str, argument: str, notify_peer: bool = False) -> str:
-        """Carry out a call; `notify_peer`: it was made here, so the other process is told of it.
+        """Carry out a call and return the answer's text; CallRefusedError if it can't be carried out now.
 
-        Returns the answer; CallRefusedError if it can't be carried out now.
+        `notify_peer`: the call was made at this process, so it is sent to the other process too.
         """
         if name in ("OFFLINE", "ONLINE"):
-            answer = self._set_out(name, argument)
+            answer = self._take_out_or_put_back(name, argument)
         elif name == "LEAVE":
             self.presence.leave(self.loop_time())
             answer = self.presence.stage.value
@@ -70,29 +70,29 @@
             self.share_call(name, argument)
         return answer
 
-    def _set_out(self, name: str, host: str) -> str:
-        """Take a host out, or put it back."""
-        server_id, now = hashed_server_id(host), self.now()
+    def _take_out_or_put_back(self, name: str, host_id: str) -> str:
+        """Carry out OFFLINE or ONLINE for a host, by its id in discovery."""
+        server_id, now = hashed_server_id(host_id), self.now()
         operation = self.maintenance.take_out if name == "OFFLINE" else self.maintenance.put_back
         try:
             changed = operation(server_id, now)
         except UnknownHostError:
-            raise CallRefusedError(f"nobody has the id {host}") from None
+            raise CallRefusedError(f"nobody has the id {host_id}") from None
         members = tuple(Member(server, self.members[server.id].address) for server in changed)
         if members:
             self.deliver(HostList(self.revision, False, members), False)
-        return f"{host} {'out' if name == 'OFFLINE' else 'in'}"
+        return f"{host_id} {'out' if name == 'OFFLINE' else 'in'}"
 
     def restore(
         self,
         out_ages: Mapping[ServerId, int],
-        back_ages: Mapping[ServerId, int],
+        put_back_ages: Mapping[ServerId, int],
         start_ages: Mapping[ServerId, StartAge],
         now: int,
     ) -> None:
         """Take over the state of another process of this gateway, given as ages in microseconds."""
-        self.maintenance.restore(out_ages, back_ages, now)
-        self.starts.adopt(start_ages, now)
+        self.maintenance.restore(out_ages, put_back_ages, now)
+        self.start_times.adopt(start_ages, now)
 
     def apply_peer_stops(self, host_list: HostList) -> None:
         """Apply the other process's draining and gone hosts, if its list is newer than the one here."""
@@ -108,7 +108,7 @@
         self._apply(host_list, update, is_stale)
 
     def _apply(self, host_list: HostList, update: Update, is_stale: bool) -> None:
-        servers = self.starts.localise((member.server for member in host_list.members), self.now())
+        servers = self.start_times.localise((member.server for member in host_list.members), self.now())
         effective_servers = self.maintenance.apply(update, servers)
         if update is not Update.CHANGES:
             self.members = {}
@@ -118,8 +118,9 @@
             server_id for server_id in self.members if server_id not in self.maintenance.listed
         ]:
             del self.members[server_id]
-        self.starts.trim(self.members.keys())
+        self.start_times.trim(self.members.keys())
         members = tuple(
-            Member(server, m.address) for server, m in zip(effective_servers, host_list.members, strict=True)
+            Member(server, member.address)
+            for server, member in zip(effective_servers, host_list.members, strict=True)
         )
         self.deliver(HostList(host_list.revision, host_list.complete, members), is_stale)
--- a/whinrouter/operations/maintenance.py
+++ b/whinrouter/operations/maintenance.py
@@ -12,7 +12,7 @@
 not a second one.
 
 This module is given times and does no I/O. Times are microseconds of one monotonic clock, as is a server's
-`started` once `membership/start_times.py` has converted it; another process is given ages.
+`started_at` once `membership/start_times.py` has converted it; another process is given ages.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 from whinrouter.interface import Server, ServerId, State, Update
 
-# More than the hosts of any fleet. It bounds the ids kept of hosts that are no longer listed.
+# More than the hosts of any fleet. It bounds the ids that are kept of hosts that are no longer listed.
 MAX_HOSTS_OUT = 4096
 
 
@@ -32,7 +32,11 @@
 
 @dataclass(slots=True)
 class Maintenance:
-    """Hosts that are out, and hosts that were put back and whose new start is not listed yet."""
+    """Hosts that are out, and hosts that were put back and whose new start is not listed yet.
+
+    A host leaves `taken_out_at` only when it is put back. It leaves `put_back_at` when it is taken out again,
+    when a later start is listed, or when the host is no longer listed.
+    """
 
     listed: dict[ServerId, Server] = field(default_factory=dict)  # the latest state from discovery
     taken_out_at: dict[ServerId, int] = field(default_factory=dict)  # times at which hosts were taken out
@@ -63,7 +67,10 @@
         return replace(server, started_at=put_back_at)
 
     def take_out(self, server_id: ServerId, now: int) -> tuple[Server, ...]:
-        """Return the changed servers, none if it was out already; UnknownHostError if the id is unknown."""
+        """Return the changed server; an empty tuple if it was out already.
+
+        UnknownHostError if it is not listed, or if `MAX_HOSTS_OUT` hosts are out.
+        """
         if server_id in self.taken_out_at:
             return ()
         server = self.listed.get(server_id)
@@ -74,7 +81,10 @@
         return (self._effective_server(server),)
 
     def put_back(self, server_id: ServerId, now: int) -> tuple[Server, ...]:
-        """Return the changed servers, none if it was not out or is not listed; UnknownHostError as above."""
+        """Return the changed server; an empty tuple if it was not out or is not listed.
+
+        UnknownHostError if it is neither out nor listed.
+        """
         server = self.listed.get(server_id)
         if server_id not in self.taken_out_at:
             if server is None:
@@ -89,10 +99,12 @@
     def ages(self, now: int) -> tuple[dict[ServerId, int], dict[ServerId, int]]:
         """Return how long ago hosts were taken out and put back, in microseconds, for another process."""
         out_ages = {server_id: now - changed_at for server_id, changed_at in self.taken_out_at.items()}
-        back_ages = {server_id: now - changed_at for server_id, changed_at in self.put_back_at.items()}
-        return out_ages, back_ages
+        put_back_ages = {server_id: now - changed_at for server_id, changed_at in self.put_back_at.items()}
+        return out_ages, put_back_ages
 
-    def restore(self, out_ages: Mapping[ServerId, int], back_ages: Mapping[ServerId, int], now: int) -> None:
+    def restore(
+        self, out_ages: Mapping[ServerId, int], put_back_ages: Mapping[ServerId, int], now: int
+    ) -> None:
         """Take over the state of another process of this gateway, given as ages."""
         self.taken_out_at = {server_id: now - age for server_id, age in out_ages.items()}
-        self.put_back_at = {server_id: now - age for server_id, age in back_ages.items()}
+        self.put_back_at = {server_id: now - age for server_id, age in put_back_ages.items()}
--- a/whinrouter/operations/presence.py
+++ b/whinrouter/operations/presence.py
@@ -28,14 +28,14 @@
 # because its first bytes had arrived before, has to be answered by then. One that arrived earlier has its own
 # deadline.
 KILL_DELAY_SECONDS, MAX_COUNTED_DEADLINE_SECONDS = 0.7, 3.0
-# Before that end each client has its answer, or a refusal of the request it is still sending. This covers the
-# way to the client, event loop lag, and a client that is still sending and has to read the answer before its
-# connection is reset.
+# This long before that end each client has its answer, or a refusal of the request that it still sends. It
+# covers the way to the client, event loop lag, and a client that is still sending and has to read the answer
+# before its connection is reset.
 LAST_ANSWER_MARGIN_SECONDS = 0.4
 
 
 class Stage(Enum):
-    """What the front is answered."""
+    """Whether the gateway serves, is drained or is ending; for the front only SERVING is up."""
 
     SERVING = "serving"
     LEAVING = "leaving"  # by an operator's call
@@ -43,11 +43,11 @@
 
 
 class Presence:
-    """The state of one process."""
+    """One process's stage, and the times that follow from when it left SERVING."""
 
     def __init__(self) -> None:
         self.stage = Stage.SERVING
-        self._since = 0.0
+        self._draining_since = 0.0
 
     @property
     def accepts_clients(self) -> bool:
@@ -57,7 +57,7 @@
     def leave(self, now: float) -> None:
         """Drain the gateway by an operator's call; it has no effect while the process stops."""
         if self.stage is Stage.SERVING:
-            self.stage, self._since = Stage.LEAVING, now
+            self.stage, self._draining_since = Stage.LEAVING, now
 
     def join(self) -> bool:
         """Return to service; False if the process is ending."""
@@ -66,9 +66,9 @@
         return self.stage is Stage.SERVING
 
     def stop(self, now: float) -> None:
-        """Drain the gateway for good, as the process ends."""
+        """Drain the gateway as the process ends; `join` has no effect after that."""
         if self.stage is Stage.SERVING:
-            self._since = now
+            self._draining_since = now
         self.stage = Stage.STOPPING
 
     def time_left(self, now: float, longest_deadline: float) -> float | None:
@@ -76,21 +76,27 @@
 
         `longest_deadline`: the longest of all classes, in seconds.
         """
-        if self.stage is not Stage.STOPPING or now <= self._since + KILL_DELAY_SECONDS:
+        if self.stage is not Stage.STOPPING or now <= self._draining_since + KILL_DELAY_SECONDS:
             return None
         return max(
-            0.0, self._since + KILL_DELAY_SECONDS + min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS) - now
+            0.0,
+            self._draining_since
+            + KILL_DELAY_SECONDS
+            + min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS)
+            - now,
         )
 
     def answer_deadline(self, longest_deadline: float) -> float | None:
-        """Return the time by which requests that arrive after the signal are answered; None: not set.
+        """Return the time by which requests that arrive, or still arrive, after the signal are answered.
+
+        None: the process is not stopping, and no such time is set.
 
         `longest_deadline`: the longest of all classes, in seconds, by the settings in force.
         """
         if self.stage is not Stage.STOPPING:
             return None
         return (
-            self._since
+            self._draining_since
             + KILL_DELAY_SECONDS
             + min(longest_deadline, MAX_COUNTED_DEADLINE_SECONDS)
             - LAST_ANSWER_MARGIN_SECONDS
@@ -100,4 +106,4 @@
         """Return the seconds that a connection may be idle; None: as long as usual."""
         if self.stage is Stage.SERVING:
             return None
-        return max(MIN_IDLE_SECONDS, INITIAL_IDLE_SECONDS - (now - self._since))
+        return max(MIN_IDLE_SECONDS, INITIAL_IDLE_SECONDS - (now - self._draining_since))
--- a/whinrouter/operations/reload_checks.py
+++ b/whinrouter/operations/reload_checks.py
@@ -13,7 +13,7 @@
 
 # Parts that are validated where they are read.
 _SKIPPED_KEYS = ("known",)
-# Counts and times of the settings that have to be above 0, whatever was in force.
+# Counts and times of the settings that are meaningless unless above 0, whatever was in force.
 _POSITIVE_KEYS = {"classes": ("giveUp", "onTime"), "permissions": ("maxAttempts",)}
 
 
@@ -25,7 +25,7 @@
 
 
 def _check_shape(path: str, new: object, old: object) -> Iterator[str]:
-    """Yield what the old value has and the new one lacks or has as another type."""
+    """Yield the keys that the old value has and the new one lacks or has with another type."""
     if isinstance(old, Mapping):
         if not isinstance(new, Mapping):
             yield f"{path or 'it'} is no object"
@@ -39,8 +39,8 @@
                 yield from _check_shape(f"{path}{key}.", new[key], value)
     elif isinstance(old, list):
         yield from _check_list(path, new, old)
-    elif _kind(new) is not _kind(old):
-        yield f"{path.rstrip('.')} is no {_kind(old).__name__}"
+    elif _comparable_type(new) is not _comparable_type(old):
+        yield f"{path.rstrip('.')} is no {_comparable_type(old).__name__}"
 
 
 def _check_list(path: str, new: object, old: list[Any]) -> Iterator[str]:
@@ -55,7 +55,7 @@
         yield from _check_shape(f"{path}{index}.", entry, common)
 
 
-def _kind(value: object) -> type:
+def _comparable_type(value: object) -> type:
     """Return the type of a value; int and float count as one."""
     return float if type(value) is int else type(value)
 
--- a/whinrouter/operator/checks.py
+++ b/whinrouter/operator/checks.py
@@ -15,9 +15,9 @@
 
 Check = Callable[[Loaded], Iterator[Finding]]
 
-EPHEMERAL_PORTS = (32768, 60999)  # first and last; Linux's default of ip_local_port_range
+EPHEMERAL_PORTS = (32768, 60999)  # Linux assigns these to outgoing connections by default
 FIRST_UNPRIVILEGED_PORT = 1024
-RESERVED_SOCKETS = 40  # descriptors that are not connections of clients or to hosts
+RESERVED_SOCKETS = 40  # descriptors other than connections from clients and to hosts
 # Memory in bytes, from `benchmarks.memory`, rounded up: a process that has started; a client's connection; a
 # request in progress with its connection to a host.
 PROCESS_BYTES, BYTES_PER_CLIENT, BYTES_PER_UPSTREAM_CONNECTION = 32 * 1024**2, 5 * 1024, 13 * 1024
@@ -405,7 +405,7 @@
             "signed_by",
             "unsigned",
             "The catalogue is not signed.",
-            "Set signed_by to the name of who approved it.",
+            "Set signed_by to the name of the person who approved it.",
         )
     for key in ("name", "path"):
         values = [getattr(entry, key) for entry in catalogue.effect]
--- a/whinrouter/operator/host.py
+++ b/whinrouter/operator/host.py
@@ -116,7 +116,10 @@
 
 
 def _resolve_links(address: Address | None) -> Address | None:
-    """Return a Unix socket's address with symbolic links resolved; any other address as it is."""
+    """Return a Unix socket's address with all symbolic links resolved, the socket's own name included.
+
+    Any other address is returned as it is.
+    """
     return Address(path=os.path.realpath(address.path)) if address and address.path else address
 
 
--- a/whinrouter/operator/loading.py
+++ b/whinrouter/operator/loading.py
@@ -135,7 +135,8 @@
             return {}
         if len(chain) >= MAX_INCLUDE_DEPTH or len(self.loaded.files) >= MAX_FILES:
             reason = (
-                f"Includes are nested deeper than {MAX_INCLUDE_DEPTH} files, or more than {MAX_FILES} in all."
+                f"Includes are nested more than {MAX_INCLUDE_DEPTH} deep, or there are more than "
+                f"{MAX_FILES} files."
             )
             self.add_finding(
                 location, "include", "include-depth", reason, "Include fewer files, or nest them less deeply."
--- a/whinrouter/operator/model.py
+++ b/whinrouter/operator/model.py
@@ -1,7 +1,7 @@
 """The typed model of an operator file: one type for each section.
 
 A subsystem adds its section by adding a type here, or in its own module, to `Model`; the loader follows the
-types. A key that no type has is an error. What a section has to fulfil beyond its types is in `checks.py`.
+types. A key that no type has is an error. Requirements on a section beyond its types are in `checks.py`.
 The names of fields are keys of users' files.
 """
 
@@ -21,7 +21,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request does; in order of safety, the safest last."""
+    """What a repeat of a request does; the members are in order of safety, the safest last."""
 
     AT_MOST_ONCE = "at most once"
     KEYED = "keyed"
@@ -137,7 +137,7 @@
 
 
 class CatalogueEntry(Struct, forbid_unknown_fields=True):
-    """What the platform's owner signs off for one class of request, by name and by path."""
+    """What the platform's owner has approved for one class of request, identified by its name and path."""
 
     name: Name
     path: Path
--- a/whinrouter/overload_control.py
+++ b/whinrouter/overload_control.py
@@ -14,7 +14,7 @@
 turn, so that answers and the events of pending requests come first. Connections are accepted at intervals, as
 accepting one costs as much as a request. The decision module decides about the requests that are read.
 
-It is given the time, reads no clock and does no I/O. Times are in seconds of one clock.
+The caller passes the time; the module reads no clock and does no I/O. Times are in seconds of one clock.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 # Fraction of the shortest aim that a standing queue may take; the rest is for the answers.
 TARGET_FRACTION = 0.05
 MIN_TARGET_SECONDS = 0.01  # turns of a healthy loop may be this long
-MAX_WAIT_TARGETS = 5.0  # targets that a request may have waited under overload
+MAX_WAIT_TARGETS = 5.0  # longest wait of a request under overload, as a multiple of the target
 # Requests that are read per turn under overload. They take a few milliseconds, and answers come next. A turn
-# polls all sockets, however few it reads: with 16 of 240 the polling cost as much as the serving.
+# polls all waiting sockets, however few it reads: with 16 of 240 the polling cost as much as the serving.
 READS_PER_TURN = 64
 ACCEPT_INTERVAL_SECONDS = 0.1  # between accepts under overload; one turn of accepts takes far less
 
--- a/whinrouter/platform_gateway.py
+++ b/whinrouter/platform_gateway.py
@@ -28,7 +28,10 @@
 
 
 class _Reloader:
-    """On SIGHUP: read the file again, and apply its settings and its discovery, or nothing of it."""
+    """On SIGHUP: read the file again and apply its settings and discovery.
+
+    An invalid file changes nothing.
+    """
 
     def __init__(self, config: Config) -> None:
         self._config = config
@@ -56,7 +59,7 @@
 def runtime_settings(config: Config) -> RuntimeSettings:
     """Return the part of a configuration that may change while the gateway serves."""
     half = max(1, (config.sockets - RESERVED_DESCRIPTORS) // 2)
-    return RuntimeSettings(config.settings, config.connect_time, config.idle_time, half, half)
+    return RuntimeSettings(config.settings, config.connect_timeout, config.idle_timeout, half, half)
 
 
 def gateway_options(config: Config) -> GatewayOptions:
@@ -72,8 +75,8 @@
             config.discovery, config.known.revision, deliver, config.retry_policy, bool(config.known.members)
         ),
         reload=_Reloader(config),
-        connect_timeout=config.connect_time,
-        idle_timeout=config.idle_time,
+        connect_timeout=config.connect_timeout,
+        idle_timeout=config.idle_timeout,
         max_clients=runtime.max_clients,
         max_host_connections=runtime.max_host_connections,
         control_address=config.control,
@@ -82,7 +85,7 @@
 
 
 def main() -> int:
-    """Serve until a signal ends it; return the exit status, 2 if it cannot start."""
+    """Serve until SIGTERM or SIGINT; return the exit status: 0, or 2 if the gateway cannot start."""
     signals.block()
     log_to_stderr()
     try:
--- a/whinrouter/program.py
+++ b/whinrouter/program.py
@@ -1,4 +1,4 @@
-"""A gateway as a process: its parts are built, started and ended. Configuration is read elsewhere."""
+"""A gateway as a process: builds, starts and stops its parts. Its callers read the configuration."""
 
 from __future__ import annotations
 
@@ -48,8 +48,8 @@
 # the limit (8, `net/frontend.py`), and connections accepted but not counted yet (3 times 4,
 # `net/connect.py`).
 RESERVED_DESCRIPTORS = 40
-ACCEPT_GRACE_SECONDS = 0.5  # connections go on arriving for this long after SIGTERM
-STREAM_DRAIN_SECONDS = 300.0  # for bodies in progress at the end: 32 MB at 107 kB/s
+ACCEPT_GRACE_SECONDS = 0.5  # new connections still arrive for this long after SIGTERM
+STREAM_DRAIN_SECONDS = 300.0  # for bodies in progress at the exit: 32 MB at 107 kB/s
 LAG_CHECK_SECONDS, LAG_WARNING_SECONDS = 0.1, 0.05
 # New objects between two runs of the garbage collector. A request's objects are freed as it ends and cycles
 # are rare: with Python's default of 700 the collector took up to a tenth of all CPU time.
@@ -63,7 +63,8 @@
 class HostSource(Protocol):
     """A source of host lists: discovery, a file, or the configuration.
 
-    `resume` continues from a revision that another process received from `source`.
+    It delivers lists between `start` and `stop`. `source` names the service whose revisions the lists have.
+    `resume` continues from a revision that another process received from that source.
     """
 
     @property
@@ -81,7 +82,7 @@
     """The application that a sidecar serves."""
 
     pid_file: str
-    exits_with_it: bool  # else it stops listening until the application is back
+    exits_with_it: bool  # else the gateway only stops listening until the application is back
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,7 +116,7 @@
     idle_timeout: float  # seconds
     max_clients: int  # connections of clients at most
     max_host_connections: int  # connections to hosts at most
-    known_hosts_are_stale: bool = True  # they were listed before the start
+    known_hosts_are_stale: bool = True  # no source has listed these hosts since the start
     routes: Routes | None = None
     attempt_timeout: int = 0  # microseconds that an attempt may take; 0: the request's time left
     max_buffered_bytes: int | None = None  # of requests that wait or are not complete; None: the default
@@ -156,7 +157,7 @@
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
-    events = _write_events_on_signal(loop, gateway)
+    event_dump = _write_events_on_signal(loop, gateway)
     signals.unblock((signal.SIGTERM, signal.SIGINT, signal.SIGUSR1))
     controller = OperationsController(gateway.clock.now, loop.time, gateway.update_hosts, frontend.presence)
     controller.violation_summary = gateway.guards.violations.summary
@@ -182,7 +183,7 @@
         await coordinator.start_serving()
     host_source.start()
     lag_task = loop.create_task(_watch_lag())
-    # The objects that exist now stay: scanning them again would only delay the loop.
+    # The objects that exist now live until the exit: scanning them again would only delay the loop.
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD_OBJECTS, 20, 50)
@@ -190,7 +191,7 @@
         application.start()
     await stop.wait()
     reload.stop()
-    events.stop()
+    event_dump.stop()
     log.info("stopping: %d requests held", gateway.unanswered_count)
     gateway.record_event(EventKind.STOPPING, f"{gateway.unanswered_count} held")
     frontend.stop()
@@ -216,13 +217,13 @@
 
 
 def _write_events_on_signal(loop: asyncio.AbstractEventLoop, gateway: Gateway) -> CoalescedCall:
-    events = CoalescedCall(loop, partial(_write_events, gateway), EVENTS_INTERVAL_SECONDS)
-    loop.add_signal_handler(signal.SIGUSR1, events.request)
-    return events
+    event_dump = CoalescedCall(loop, partial(_write_events, gateway), EVENTS_INTERVAL_SECONDS)
+    loop.add_signal_handler(signal.SIGUSR1, event_dump.request)
+    return event_dump
 
 
 def _write_events(gateway: Gateway) -> None:
-    """Write the latest events to the log, as an operator requests by SIGUSR1."""
+    """Write the latest events to the log, on SIGUSR1 from an operator."""
     events = gateway.guards.ring.events()
     for event in events:
         event_log.info("event %s", event)
@@ -272,7 +273,7 @@
     new: RuntimeSettings,
 ) -> None:
     """Apply checked settings as a whole: no request is handled in between."""
-    upstream.retune(new.connect_timeout, new.idle_timeout, new.max_host_connections)
+    upstream.set_limits(new.connect_timeout, new.idle_timeout, new.max_host_connections)
     gateway.apply_settings(new.settings, new.attempt_timeout)
     frontend.apply_settings(new.settings, new.max_clients, new.routes)
     if coordinator is not None:
@@ -321,7 +322,7 @@
 def _create_application(
     options: GatewayOptions, frontend: Frontend, stop: asyncio.Event
 ) -> ApplicationMonitor | None:
-    """Watch the application: listen only while it runs."""
+    """Return a monitor by which the gateway listens only while the application runs; None without one."""
     application = options.application
     if application is None:
         return None
@@ -341,7 +342,7 @@
         task.add_done_callback(tasks.discard)
 
     def application_gone() -> None:
-        # The application's connections end by themselves; requests left on them need no answer.
+        # The application's own connections end by themselves; requests left on them need no answer.
         frontend.close()
         if application.exits_with_it:
             stop.set()
@@ -350,7 +351,7 @@
 
 
 class _RepeatFilter(logging.Filter):
-    """Limits lines that peers can cause at will to one a second of each template."""
+    """Limits log lines, which peers can cause at will, to one per second for each format string."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -400,7 +401,7 @@
         return
     except TimeoutError:
         pass
-    try:  # a body in progress may go on for as long as host and client keep it moving
+    try:  # a body in progress may continue as long as host and client keep it moving, up to this limit
         async with asyncio.timeout(STREAM_DRAIN_SECONDS):
             while frontend.streaming_connections:
                 await asyncio.sleep(0.01)
--- a/whinrouter/server_state.py
+++ b/whinrouter/server_state.py
@@ -13,31 +13,32 @@
 from whinrouter.learned_state import LearnedServerState, age_of, moment_of
 from whinrouter.slowstart import SlowStart
 
-# Requests that all balancers together may first have in flight at a new server of mean capacity, and the
-# least that each may have. All balancers start together: with 8 for each of three balancers, or 3 for each of
-# eight, the first seconds of a day overloaded hosts of two or three cores for long. With a minimum of one for
-# each of forty nothing was bounded; a quarter at each of its servers still lets a balancer start.
+# Requests that all balancers together may have in flight at first at a new server of mean capacity, and the
+# minimum for each balancer. All balancers start together: with 8 for each of three balancers, or 3 for each
+# of eight, the first seconds of a day overloaded hosts of two or three cores, which recovered late. With a
+# minimum of one for each of forty nothing was bounded; a quarter at each of its servers still lets a balancer
+# start.
 INITIAL_LIMIT, MIN_INITIAL_LIMIT = 10.0, 0.25
 # The least limit of all balancers together, whatever the signs of overload. Some answers are late on any
 # host; where two balancers share ten hosts and one has most of the traffic, one request in flight from each
-# is no load. The minimum limits of a balancer's servers sum to one request at least; not to a quarter at each
-# server, as forty balancers then had ten requests at each.
+# is no load. The minimum limits of a balancer's servers sum to at least one request. With a minimum of a
+# quarter at each server instead, forty balancers together had ten requests at each.
 MIN_LIMIT = 5.0
 LIMIT_CUT_FACTOR = 0.7  # factor on the limit for each sign of overload
 # Relative growth of a pooled limit with each answer in time. Together with LIMIT_CUT_FACTOR, the pool is
 # steady where one answer in eight is late. Limits that doubled with each answer overloaded every server
 # within the first second of a burst; those with 0.3 did as well, and with 0.1 on some days; with 0.025 pools
-# were still small long after the trouble.
+# were still small long after the overload.
 POOLED_LIMIT_GROWTH = 0.05
 # A latency ratio is forgotten over this time, or over the time of this many answers of each server if that is
-# longer: a balancer that met a server every two seconds always forgot that it was slow.
+# longer: a balancer that sent to a server every two seconds always forgot that the server was slow.
 LATENCY_MEMORY, LATENCY_MEMORY_ANSWERS = SECOND // 2, 4
 UNANSWERED = {None, Outcome.TIMEOUT, Outcome.CANCELLED}  # running, or given up while running
 
 
 @dataclass(slots=True, eq=False)
 class ServerState:
-    """What a balancer knows about one server."""
+    """The state that a balancer keeps of one server since its start."""
 
     info: Server  # as discovery lists it
     random: Random
@@ -53,7 +54,7 @@
     class_breakers: dict[str, ClassBreaker] = field(default_factory=dict)  # by announced class
 
     def export_state(self, now: int) -> LearnedServerState:
-        """Return what a successor of the balancer needs, with all moments as spans from now."""
+        """Return the state that a successor of the balancer needs, with all moments as spans from now."""
         class_breakers = {name: breaker.export_state(now) for name, breaker in self.class_breakers.items()}
         info, breaker = self.info, self.breaker.export_state(now)
         return LearnedServerState(
@@ -68,7 +69,7 @@
         )
 
     def restore_state(self, learned: LearnedServerState, share: float, now: int) -> None:
-        """Take over what another balancer learned, with a share of its limit and of its slow-start tokens."""
+        """Take over another balancer's state, with a share of its limit and of its slow-start tokens."""
         self.limit = max(self.min_limit, learned.limit * share)
         self.latency_ratio, self.latency_ratio_at = (
             learned.latency_ratio,
@@ -84,8 +85,8 @@
     def load_score(self, now: int, memory: float) -> float:
         """Return the load: requests in flight, weighted by capacity and latency.
 
-        The latency ratio decays to 1 over `memory`; else a server that was slow once would never be tried
-        again.
+        The latency ratio decays to 1 over `memory` microseconds; else a server that was slow once would never
+        be tried again.
         """
         latency_ratio = 1 + (self.latency_ratio - 1) * max(0.0, 1 - (now - self.latency_ratio_at) / memory)
         return (self.in_flight + 1) * latency_ratio / self.capacity
@@ -118,7 +119,7 @@
             self.limit_cut_at = now
 
     def record_success(self, request_class: RequestClass, attempt: Attempt, now: int) -> None:
-        """Count an answer. One to an attempt that was counted as late shows only that the class is served."""
+        """Count an answer. If its attempt was counted as late, it shows only that the class is served."""
         if not attempt.is_counted:
             self.breaker.record_success(attempt.is_trial)
         self.class_breaker(request_class).record_answer(
--- a/whinrouter/shedding.py
+++ b/whinrouter/shedding.py
@@ -1,8 +1,8 @@
 """Load shedding: how much of the offered work is admitted under overload, and which; no clock, no I/O.
 
 Overload shows in a balancer's own answers: each late answer cuts the admitted share of the work, each answer
-in time raises it. The share is filled in the order of worth per work. The traffic is divided into parts for
-this: each class within its tenants' allowances, and each class beyond them.
+in time raises it. Requests are admitted up to that share, in the order of worth per work. For this the
+traffic is divided into parts: each class within its tenants' allowances, and each class beyond them.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from whinrouter.interface import SECOND, Request, RequestClass, Settings
 
 SHED_TIME_CONSTANT = SECOND // 2  # late answers over this time leave about a third of the admitted share
-# An answer speaks for the time since the one before it, up to this.
+# An answer is weighted by the time since the previous answer, but by no more than this.
 MAX_RESULT_SPAN = SECOND // 4
-ALLOWANCE_BURST_SECONDS = 5  # a tenant may save up its allowance over this time
+ALLOWANCE_BURST_SECONDS = 5  # a tenant may accumulate this many seconds of its allowance
 
 TrafficPart = tuple[str, bool]  # a class, and whether the request exceeds its tenant's allowance
 
@@ -37,7 +37,10 @@
         self._last_result_at = 0  # moment at which an answer last changed the share
 
     def with_settings(self, settings: Settings) -> LoadShedder:
-        """Return a copy under other settings: it keeps the share, and the offered work of known classes."""
+        """Return a load shedder with other settings.
+
+        It keeps the admitted share, the offered work of known classes and the credit of known tenants.
+        """
         successor = LoadShedder(settings)
         successor.admitted_share, successor._last_result_at = self.admitted_share, self._last_result_at
         for part in (part for part in self._request_counts if part[0] in successor._announced_classes):
@@ -80,7 +83,7 @@
         return random.random() >= self._admission_probability(part)
 
     def record_result(self, in_time: bool, now: int) -> None:
-        """Count an answer in time or late.
+        """Adjust the admitted share by an answer in time, or by one that was late or missing.
 
         Results are weighted by time, not by number: so a balancer with all of the traffic and one of hundreds
         react alike.
@@ -92,7 +95,7 @@
         )
 
     def _exceeds_allowance(self, event: Request, now: int) -> bool:
-        """Whether a request exceeds its tenant's allowance at this balancer."""
+        """Whether a request exceeds this balancer's part of its tenant's allowance; retries use no credit."""
         if event.tenant not in self._tenant_credit:
             return False
         rate = self._settings.allowances[event.tenant]
--- a/whinrouter/sidecar.py
+++ b/whinrouter/sidecar.py
@@ -36,8 +36,8 @@
 
 log = logging.getLogger("whinrouter")
 
-# A discovery service is shared by any number of sidecars. The watch is kept for as long, and renewed as
-# seldom, as that of a single gateway.
+# A discovery service may be shared by any number of sidecars, and a sidecar does not know how many. So its
+# watch is kept for as long, and renewed as seldom, as that of a single gateway.
 SERVICE_RETRY_POLICY = shared_service_policy(gateways=1, ask_every=10.0)
 
 _EFFECTS = {
@@ -49,7 +49,9 @@
 
 
 def run(path: Path, digest: str | None = None) -> int:
-    """Run a sidecar until it is stopped; return 1 if its file is refused, 2 if it cannot start.
+    """Run a sidecar until it is stopped; return the exit status.
+
+    0: it was stopped; 1: its file is refused; 2: it cannot start.
 
     `digest`: as printed by `copperlead sidecar check`; a file that has changed since is refused.
     """
@@ -108,7 +110,7 @@
 
 
 def routes(model: schema.Model) -> Routes:
-    """Return the routes of the application's paths to classes."""
+    """Return the routes from the application's paths and methods to classes."""
     return Routes(
         Route(
             effective_path(declared).encode(),
@@ -159,7 +161,7 @@
 def _parse_host(line: str) -> tuple[str, int]:
     address = Address.parse(line)
     if address.path:
-        raise ValueError(f"{line!r} is no host: it has no port")
+        raise ValueError(f"{line!r} is not a host: it has no port")
     return _host_and_port(address)
 
 
@@ -190,7 +192,7 @@
         return ""
 
     def resume(self, source: str, revision: int) -> None:
-        """Do nothing: each of its lists is whole, so there is no revision to continue from."""
+        """Do nothing: every list is whole, so there is no revision to continue from."""
 
     def replace_hosts(self, addresses: list[Address]) -> None:
         """Deliver a list of these hosts in place of the one before."""
@@ -199,7 +201,10 @@
 
 
 class _Reloader:
-    """On SIGHUP: check the file again, apply what may change, and log what waits for a restart."""
+    """On SIGHUP: check the file again, apply the keys that may change, and log those that need a restart.
+
+    A file with findings changes nothing.
+    """
 
     def __init__(self, loaded: Loaded) -> None:
         self._started = self._loaded = loaded
--- a/whinrouter/signals.py
+++ b/whinrouter/signals.py
@@ -2,9 +2,9 @@
 
 A signal that arrives before its handler is installed, or after the event loop has restored the default
 action, would end the process. Signals are therefore blocked at both times: `block` is called before a
-program's large imports, `unblock` once the handlers are installed, and `block` again as the loop is about to
-close, for good. The system keeps a blocked signal pending: a SIGTERM or SIGHUP of the first instants is
-handled after `unblock`.
+program's large imports, `unblock` once the handlers are installed, and `block` again, until the exit, as the
+loop is about to close. The system keeps a blocked signal pending: a SIGTERM or SIGHUP that arrives in the
+first instants is handled after `unblock`.
 
     BLOCKED --unblock--> HANDLED --block--> BLOCKED, until the exit
 
--- a/whinrouter/slowstart.py
+++ b/whinrouter/slowstart.py
@@ -8,7 +8,7 @@
 - a base rate: `BASE_RATE_FRACTION` * multiple * the server's share, by its least capacity, of the work that
   this balancer's servers of its kind do;
 - the server's own answers: each allows `ANSWER_FRACTION` * multiple * its work to be sent again. This follows
-  the real capacity, even if it is above the least one, and whatever the other servers do: a burst
+  the real capacity, even if it is above the least one, and however little work the other servers do: a burst
   that delays the answers of warm servers does not leave the cold ones idle.
 
 Both give tokens of work, which expire after `TOKEN_LIFETIME_FRACTION` of the window. One of hundreds of
--- a/whinrouter/streaming/flow.py
+++ b/whinrouter/streaming/flow.py
@@ -7,7 +7,7 @@
     FILLING --attach--> FLOWING --end--> ENDED       (detach: back to FILLING, if nothing was sent yet)
     either  --fail----> BROKEN: the sink is told to abort, in a way that its reader notices
     either  --cancel--> BROKEN: the source is told to cancel, and reads no more
-    either  --discard-> DISCARDING: nobody wants the rest, which is read and dropped
+    either  --discard-> DISCARDING: the rest of the body is not wanted; it is read and dropped
 
 Data that was given to a sink is not kept: once `is_partly_sent` is set, the request whose body this is can't
 be sent to another host any more.
@@ -43,17 +43,17 @@
     of the caller's clock.
     """
 
-    __slots__ = ("_floor", "_grace", "due")
+    __slots__ = ("_floor", "_grace", "deadline")
 
     def __init__(self, now: float, grace: float = GRACE_SECONDS, floor: float = MIN_BODY_RATE) -> None:
         """`floor`: bytes a second; 0: any byte earns the whole `grace`."""
         self._grace, self._floor = grace, floor
-        self.due = now + grace
+        self.deadline = now + grace
 
     def credit(self, count: int, now: float) -> None:
         """Extend the deadline for bytes that arrived; a peer is not blamed for bytes that were read late."""
         earned = count / self._floor if self._floor else self._grace
-        self.due = min(now + self._grace, max(self.due, now) + earned)
+        self.deadline = min(now + self._grace, max(self.deadline, now) + earned)
 
 
 class Source(Protocol):
@@ -86,7 +86,7 @@
 
 
 class Stage(Enum):
-    """The progress of a body."""
+    """The state of a body; the module docstring describes the transitions."""
 
     FILLING = "filling"
     FLOWING = "flowing"
@@ -115,7 +115,7 @@
         self._is_paused = False  # the source was told to pause reading
         self._grace = grace
         self._rate_floor = RateFloor(now, grace, floor)
-        self._delivered = -1  # what the sink reported as delivered when it was last asked
+        self._delivered = -1  # bytes that the sink reported as delivered at the latest check
 
     @property
     def is_source_paused(self) -> bool:
@@ -138,7 +138,7 @@
         return b"".join(self._buffer)
 
     def release(self) -> None:
-        """Another process continues the body: neither side is called any more."""
+        """End the flow here, as another process continues the body: neither side is called any more."""
         self.stage, self._sink, self._buffer, self._buffered_bytes = Stage.ENDED, None, [], 0
 
     def __repr__(self) -> str:
@@ -165,14 +165,14 @@
             self._is_sink_full if self.stage is Stage.FLOWING else self._buffered_bytes > MAX_BUFFERED_BYTES
         )
         if should_pause and not self._is_paused and not self.is_received:
-            self._is_paused, self._rate_floor.due = True, now + STALL_SECONDS
+            self._is_paused, self._rate_floor.deadline = True, now + STALL_SECONDS
             self._source.pause_reading()
         elif self._is_paused and not should_pause:
-            self._is_paused, self._rate_floor.due = False, now + self._grace
+            self._is_paused, self._rate_floor.deadline = False, now + self._grace
             self._source.resume_reading()
 
     def end(self) -> None:
-        """The source has read the whole body."""
+        """Note that the source has read the whole body."""
         self.is_received = True
         if self._is_paused:  # what follows the body on its connection has to be read
             self._is_paused = False
@@ -201,27 +201,27 @@
         self._update_source(now)
 
     def detach(self, now: float) -> None:
-        """The sink is gone; another one may be attached if this one was given nothing."""
+        """Detach the sink, which is gone; another one may be attached if this one was given nothing."""
         self._sink = None
         if self.stage is Stage.FLOWING:
             self.stage = Stage.FILLING
             # The source must not inherit the longer time of a sink that was full.
-            self._is_sink_full, self._rate_floor.due = False, now + STALL_SECONDS
+            self._is_sink_full, self._rate_floor.deadline = False, now + STALL_SECONDS
             self._update_source(now)
 
     def sink_full(self, now: float) -> None:
-        """The sink accepts no more for now."""
-        self._is_sink_full, self._rate_floor.due = True, now + READER_TIMEOUT_SECONDS
+        """Note that the sink accepts no more for now."""
+        self._is_sink_full, self._rate_floor.deadline = True, now + READER_TIMEOUT_SECONDS
         self._update_source(now)
 
     def sink_ready(self, now: float) -> None:
-        """The sink accepts data again."""
-        self._is_sink_full, self._rate_floor.due = False, now + self._grace
+        """Note that the sink accepts data again, and send it what was buffered."""
+        self._is_sink_full, self._rate_floor.deadline = False, now + self._grace
         if self.stage is Stage.FLOWING:
             self._drain(now)
 
     def discard(self, now: float) -> None:
-        """Nobody wants the rest; the source may read it and drop it."""
+        """The rest is not wanted: what the source still reads is dropped."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return
         self._sink, self._buffer, self._buffered_bytes = None, [], 0
@@ -229,7 +229,7 @@
         self._update_source(now)
 
     def fail(self) -> None:
-        """The source broke."""
+        """End the body, as the source broke: the sink is told to abort."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return
         self.stage, sink = Stage.BROKEN, self._sink
@@ -238,7 +238,7 @@
             sink.abort_body()
 
     def cancel(self) -> None:
-        """The sink broke, and no other one will be attached."""
+        """End the body, as the sink broke and no other one follows: the source is told to cancel."""
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return
         self.stage, self._sink, self._buffer, self._buffered_bytes = Stage.BROKEN, None, [], 0
@@ -250,7 +250,7 @@
         if self.stage in (Stage.ENDED, Stage.BROKEN):
             return False
         # Once the body is received, only a sink that is full can be late.
-        if now < self._rate_floor.due or (self.is_received and not self._is_sink_full):
+        if now < self._rate_floor.deadline or (self.is_received and not self._is_sink_full):
             return False
         if not self._is_sink_full or self._sink is None:
             return True
@@ -260,5 +260,5 @@
         before, self._delivered = self._delivered, self._sink.bytes_delivered()
         if self._delivered <= before:
             return True
-        self._rate_floor.due = now + READER_TIMEOUT_SECONDS
+        self._rate_floor.deadline = now + READER_TIMEOUT_SECONDS
         return False
--- a/whinrouter/streaming/remainder.py
+++ b/whinrouter/streaming/remainder.py
@@ -60,39 +60,39 @@
     def __init__(self, bytes_left: int | None = None) -> None:
         # Of the current chunk; 0: the size of the next chunk follows; None: not known.
         self.bytes_left = bytes_left
-        self._at_end = 0  # bytes at the end of the latest read that belong to an unfinished chunk
+        self._unfinished_bytes = 0  # bytes at the end of the latest read that belong to an unfinished chunk
         self._is_between = bytes_left == 0  # the parser expects a chunk's size
-        self._before = b"\r\n" if bytes_left == 0 else b""  # the last bytes that were fed to the parser
+        self._latest_bytes = b"\r\n" if bytes_left == 0 else b""  # the last bytes that were fed to the parser
 
     def begin_read(self) -> None:
-        """The data of a read is about to be fed to the parser."""
-        self._at_end = 0
+        """Begin a read, whose data is about to be fed to the parser."""
+        self._unfinished_bytes = 0
 
     def add(self, count: int) -> None:
-        """The parser has reported this many bytes of a chunk."""
-        self._at_end += count
+        """Count bytes of a chunk that the parser has reported."""
+        self._unfinished_bytes += count
 
     def chunk_started(self) -> None:
-        """The parser has read the line with a chunk's size."""
-        self._at_end, self._is_between = 0, False
+        """Note that the parser has read the line with a chunk's size."""
+        self._unfinished_bytes, self._is_between = 0, False
 
     def chunk_ended(self) -> None:
-        """A chunk, or the message head before the first one, is whole."""
-        self._at_end, self._is_between = 0, True
+        """Note that a chunk, or the message head before the first one, is whole."""
+        self._unfinished_bytes, self._is_between = 0, True
 
     def end_read(self, data: bytes | memoryview) -> None:
-        """The parser has consumed all data of a read."""
-        if self._at_end >= len(data) and self.bytes_left:
+        """Update `bytes_left` after the parser has consumed all data of a read."""
+        if self._unfinished_bytes >= len(data) and self.bytes_left:
             # None at the end of the data, as the CRLF behind it has not arrived.
             self.bytes_left = self.bytes_left - len(data) or None
         else:
-            begins = len(data) - self._at_end
+            begins = len(data) - self._unfinished_bytes
             before = bytes(data[max(0, begins - MAX_SIZE_LINE_BYTES) : begins])
             if begins < MAX_SIZE_LINE_BYTES:
-                before = self._before + before
-            self.bytes_left = chunk_bytes_left(before, self._at_end)
-        self._before = (self._before + bytes(data[-MAX_SIZE_LINE_BYTES:]))[-MAX_SIZE_LINE_BYTES:]
-        if self._is_between and self._before.endswith(b"\r\n"):  # no byte of the next size has arrived
+                before = self._latest_bytes + before
+            self.bytes_left = chunk_bytes_left(before, self._unfinished_bytes)
+        self._latest_bytes = (self._latest_bytes + bytes(data[-MAX_SIZE_LINE_BYTES:]))[-MAX_SIZE_LINE_BYTES:]
+        if self._is_between and self._latest_bytes.endswith(b"\r\n"):  # no byte of the next size has arrived
             self.bytes_left = 0
 
 
@@ -136,7 +136,7 @@
         return None if bytes_left is None or self.is_whole else Remainder(self._framing, bytes_left)
 
     def end(self) -> bool:
-        """The connection has ended; return whether the body is whole."""
+        """Note the end of the connection; return whether the body is whole."""
         self.is_whole = self.is_whole or self._framing is Framing.CONNECTION_END
         return self.is_whole
 
@@ -180,7 +180,9 @@
 
 
 def chunk_bytes_left(before: bytes, received: int) -> int | None:
-    """Bytes that are left of a chunk of which `received` bytes have arrived; None if that is not known.
+    """Return the bytes that are left of a chunk of which `received` bytes have arrived.
+
+    None if that is not known, or if the chunk is whole.
 
     `before`: the raw bytes in front of these, which end with the line that has the chunk's size. The whole
     line has to be there, with the CRLF that precedes it.
