--- a/whinrouter/operator/values.py
+++ b/whinrouter/operator/values.py
@@ -89,7 +89,7 @@
             return cls(path=_check_socket_path(text[5:]))
         host, colon, port = text.rpartition(":")
         if not colon or not re.fullmatch(r"[0-9]{1,5}", port) or not 0 < int(port) < 65536:
-            raise ValueError(f"{text!r} is not an address: write host:port with a port from 1 to 65535")
+            raise ValueError(f"{text!r} is no address: write host:port with a port from 1 to 65535")
         is_bracketed = host.startswith("[") and host.endswith("]")
         try:
             ip = ipaddress.ip_address(host[1:-1] if is_bracketed else host)
@@ -98,9 +98,7 @@
                 f"{host!r} is not an IP address: names are not resolved, write the address"
             ) from None
         if is_bracketed != (ip.version == 6):
-            raise ValueError(
-                f"{text!r} is not an address: IPv6 addresses, and no others, are put in brackets"
-            )
+            raise ValueError(f"{text!r} is no address: IPv6 addresses, and no others, are put in brackets")
         return cls(str(ip), int(port))
 
     @property
--- a/whinrouter/sidecar.py
+++ b/whinrouter/sidecar.py
@@ -161,7 +161,7 @@
 def _parse_host(line: str) -> tuple[str, int]:
     address = Address.parse(line)
     if address.path:
-        raise ValueError(f"{line!r} is not a host: it has no port")
+        raise ValueError(f"{line!r} is no host: it has no port")
     return _host_and_port(address)
 
 
